--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 SEED ?= 1
 MINUTES ?= 2
 
-.PHONY: setup demo test lint proto bench soak soak-platform capacity mutants
+.PHONY: setup demo test lint proto soak soak-platform capacity mutants
 
 setup: .venv/ready
 
@@ -30,9 +30,6 @@
 	cd packages/springbridge-node && PATH="$(CURDIR)/$(BIN):$$PATH" python -m grpc_tools.protoc \
 		-I. --python_out=. --grpclib_python_out=. springbridge_node/proto/peer.proto
 
-bench: setup
-	$(BIN)/python -m springbridge_standins.bench
-
 soak: setup
 	$(BIN)/python -m springbridge_standins.soak --seed $(SEED) --minutes $(MINUTES)
 
--- a/packages/springbridge-standins/springbridge_standins/load.py
+++ b/packages/springbridge-standins/springbridge_standins/load.py
@@ -41,7 +41,6 @@
     """One request and how it ended.
 
     Attributes:
-      earlier_s: Time spent on tries before the last one.
       told: For each request id that was used, the fate that its last reply told.
     """
 
@@ -50,17 +49,10 @@
     at_s: float
     request_id: str
     tokens: int
-    earlier_s: float = 0.0
     reply: Reply = field(default_factory=Reply)
     codes: list[Code | None] = field(default_factory=list)
     told: dict[str, str] = field(default_factory=dict)
 
-    @property
-    def first_s(self) -> float:
-        """Return the time to the first token since the first try, or the time spent in vain."""
-        spent_s = self.reply.first_s if self.reply.whole else self.reply.total_s
-        return self.earlier_s + spent_s
-
 
 @dataclass
 class Load:
@@ -108,9 +100,7 @@
         record = Record(stream.request_class, customer, monotonic() - self._started_s, "", tokens)
         self.records.append(record)
         prompt = f"{seed} " + "word " * rng.randrange(PROMPT_WORDS)
-        started_s = monotonic()
         for _ in range(stream.tries):
-            record.earlier_s = monotonic() - started_s
             await self._try(stream, record, prompt, rng)
             told_not_run = record.reply.fate == "not run"
             if not told_not_run:
@@ -212,11 +202,4 @@
         Stream("item-descriptions", 4.0, (40, 240), tries=MOST_TRIES),
         Stream("case-matching", 0.9, (200, 600), tries=MOST_TRIES),
     ],
-    "archive.csv": [
-        Stream("sheet-transcription", 2.0, (40, 240)),
-        Stream("cadastral-comparison", 1.2, (20, 120)),
-        Stream("folio-lookup", 2.0, (1, 1), "archive-portal", tries=MOST_TRIES),
-        Stream("catalogue-lookup", 3.0, (20, 120), tries=MOST_TRIES),
-        Stream("gazetteer-tagging", 1.6, (100, 600), tries=MOST_TRIES),
-    ],
 }
