--- a/Makefile
+++ b/Makefile
@@ -28,7 +28,7 @@
 
 proto: setup
 	cd packages/springbridge-node && PATH="$(CURDIR)/$(BIN):$$PATH" python -m grpc_tools.protoc \
-		-I. --python_out=. --grpclib_python_out=. springbridge_node/proto/peer.proto
+		-I. --python_out=. --grpclib_python_out=. springbridge_node/class_router/peers/proto/peer.proto
 
 soak: setup
 	$(BIN)/python -m springbridge_standins.soak --seed $(SEED) --minutes $(MINUTES)
--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -7,13 +7,13 @@
 
 import random
 
-from springbridge.decisions import Ask, Grant
+from springbridge.classes.decisions import Ask, Grant
+from springbridge.classes.entities import Share, Tier
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.limits import LimitOwner, NodeLimit
+from springbridge.classes.slots.scheduler import EngineScheduler
 from springbridge.hashing import owner
-from springbridge.invariants import Invariants
-from springbridge.limits import LimitOwner, NodeLimit
 from springbridge.membership import Member, Membership
-from springbridge.records import Share, Tier
-from springbridge.scheduler import EngineScheduler
 
 NAMES = ["alpha", "beta", "gamma"]
 SHARE = Share("library", "questions", weight=1.0, rate_per_s=10.0, concurrency=4)
--- a/packages/springbridge-ctl/springbridge_ctl/main.py
+++ b/packages/springbridge-ctl/springbridge_ctl/main.py
@@ -8,11 +8,12 @@
 import orjson
 import typer
 from returns.result import Failure, Result, Success
-from springbridge import __version__, sheet
-from springbridge.changes import Snapshot, difference
+from springbridge import __version__
+from springbridge.classes.table import sheet
+from springbridge.classes.table.changes import Snapshot, difference
+from springbridge.classes.table.rows import COLUMNS
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.rows import COLUMNS
 
 from springbridge_ctl.client import Operator
 
--- a/packages/springbridge-node/springbridge_node/assembly.py
+++ b/packages/springbridge-node/springbridge_node/class_router/assembly.py
@@ -2,10 +2,10 @@
 
 import time
 
-from springbridge_node.engine_http import make_client
-from springbridge_node.node import Node
-from springbridge_node.platform_http import HttpInstanceList, HttpTableStore
-from springbridge_node.settings import Settings
+from springbridge_node.class_router.class_node import Node
+from springbridge_node.class_router.config.platform_http import HttpInstanceList, HttpTableStore
+from springbridge_node.class_router.engines.engine_http import make_client
+from springbridge_node.class_router.serve_settings import Settings
 
 
 def make_node(settings: Settings) -> Node:
--- a/packages/springbridge-node/springbridge_node/at_most_once_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
@@ -6,13 +6,13 @@
 import asyncio
 
 import pytest
-from springbridge.changes import Edit
+from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 from springbridge_standins.caller import until
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
 
-from springbridge_node.conftest import call_of, executions, homed_id
+from springbridge_node.class_router.conftest import call_of, executions, homed_id
 
 LONG = 80
 
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/__init__.py
@@ -0,0 +1,1 @@
+"""What callers ask over HTTP."""
--- a/packages/springbridge-node/springbridge_node/caller_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/caller_handler.py
@@ -7,7 +7,7 @@
 from tornado.web import RequestHandler
 
 from springbridge_node import logs
-from springbridge_node.services import Services
+from springbridge_node.class_router.node_parts import Services
 
 JSON = "application/json"
 
--- a/packages/springbridge-node/springbridge_node/callers_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
@@ -5,17 +5,22 @@
 
 import orjson
 from returns.result import Failure, Success
-from springbridge import request_ids
+from springbridge.classes import request_ids
+from springbridge.classes.placement import allowed_places
+from springbridge.classes.stream import Chunk
 from springbridge.codes import Code, Fate
-from springbridge.placement import allowed_places
 from springbridge.problems import Problem
-from springbridge.stream import Chunk
 from tornado.iostream import StreamClosedError
 
-from springbridge_node.admission import CLASS_HEADER, Admitted, find_class, identify
-from springbridge_node.answers import Answer
-from springbridge_node.caller_handler import JSON, CallerHandler, describe
-from springbridge_node.work_handler import WorkHandler
+from springbridge_node.class_router.callers.caller_handler import JSON, CallerHandler, describe
+from springbridge_node.class_router.callers.work_handler import WorkHandler
+from springbridge_node.class_router.requests.answers import Answer
+from springbridge_node.class_router.requests.class_admission import (
+    CLASS_HEADER,
+    Admitted,
+    find_class,
+    identify,
+)
 
 CHARS_PER_TOKEN = 4
 EVENT_STREAM = "text/event-stream"
--- a/packages/springbridge-node/springbridge_node/http_app.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/http_app.py
@@ -2,16 +2,24 @@
 
 from tornado.web import Application
 
-from springbridge_node.caller_handler import HealthHandler, NotFoundHandler, ReadyHandler
-from springbridge_node.callers_http import AddressesHandler, ChatHandler, ServiceHandler
-from springbridge_node.operators_http import (
+from springbridge_node.class_router.callers.caller_handler import (
+    HealthHandler,
+    NotFoundHandler,
+    ReadyHandler,
+)
+from springbridge_node.class_router.callers.callers_http import (
+    AddressesHandler,
+    ChatHandler,
+    ServiceHandler,
+)
+from springbridge_node.class_router.node_parts import Services
+from springbridge_node.class_router.operators.operators_http import (
     AuditHandler,
     OperatorServices,
     OrderHandler,
     StatusHandler,
     TableHandler,
 )
-from springbridge_node.services import Services
 
 
 def make_application(services: Services, operator_services: OperatorServices) -> Application:
--- a/packages/springbridge-node/springbridge_node/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -6,20 +6,20 @@
 from collections.abc import Callable
 
 from returns.result import Failure, Success
-from springbridge import request_ids
+from springbridge.classes import request_ids
+from springbridge.classes.entities import Engine, Request
+from springbridge.classes.placement import allowed_engines
+from springbridge.classes.request_ids import RequestId
 from springbridge.codes import Code
-from springbridge.placement import allowed_engines
 from springbridge.problems import Problem
-from springbridge.records import Engine, Request
-from springbridge.request_ids import RequestId
 from tornado.web import stream_request_body
 
 from springbridge_node import logs
-from springbridge_node.admission import Admitted, admit
-from springbridge_node.answers import Answer
-from springbridge_node.attempts import Work
-from springbridge_node.caller_handler import CallerHandler
-from springbridge_node.limit_gate import finishing
+from springbridge_node.class_router.callers.caller_handler import CallerHandler
+from springbridge_node.class_router.requests.answers import Answer
+from springbridge_node.class_router.requests.attempts import Work
+from springbridge_node.class_router.requests.class_admission import Admitted, admit
+from springbridge_node.class_router.requests.limit_gate import finishing
 
 DISCARD_S = 2.0
 
--- a/packages/springbridge-node/springbridge_node/callers_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers_test.py
@@ -12,7 +12,7 @@
 from testtools.matchers import Contains, Equals, Is, Not
 from tornado.httpclient import HTTPRequest
 
-from springbridge_node.conftest import KEY, address_of, call_of, counters_of
+from springbridge_node.class_router.conftest import KEY, address_of, call_of, counters_of
 
 CHAT = "/v1/chat/completions"
 HEADERS = {"Authorization": f"Bearer {KEY}", "Springbridge-Class": "item-descriptions"}
--- a/packages/springbridge-node/springbridge_node/node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -10,41 +10,46 @@
 
 from grpclib.server import Server
 from returns.result import Failure, Success
-from springbridge.binding import Bindings
-from springbridge.decisions import (
+from springbridge.classes.binding import Bindings
+from springbridge.classes.decisions import (
     Inventory,
 )
-from springbridge.invariants import Invariants
+from springbridge.classes.entities import EngineKind
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.ports import InstanceList, TableStore
+from springbridge.classes.slots.slots import ScheduledSlots
 from springbridge.membership import GOSSIP_INTERVAL_S, Member, Membership
-from springbridge.ports import InstanceList, TableStore
-from springbridge.records import EngineKind
-from springbridge.slots import ScheduledSlots
 from tornado.httpserver import HTTPServer
 
-from springbridge_node import logs, metrics
-from springbridge_node.answers import KeptAnswers
-from springbridge_node.config_sync import ConfigSync
-from springbridge_node.editing import Editor, Orders
-from springbridge_node.engine_http import ModelClient, ServiceClient, make_client
-from springbridge_node.engine_roles import EngineRoles
-from springbridge_node.home import Home
-from springbridge_node.http_app import make_application
-from springbridge_node.limit_gate import LimitGate
-from springbridge_node.load_reports import LoadReports
-from springbridge_node.message_intake import IntakeParts, MessageIntake
-from springbridge_node.messages import (
+from springbridge_node import logs
+from springbridge_node.class_router import metrics
+from springbridge_node.class_router.callers.http_app import make_application
+from springbridge_node.class_router.config.config_sync import ConfigSync
+from springbridge_node.class_router.config.editing import Editor, Orders
+from springbridge_node.class_router.engines.engine_http import (
+    ModelClient,
+    ServiceClient,
+    make_client,
+)
+from springbridge_node.class_router.engines.engine_roles import EngineRoles
+from springbridge_node.class_router.engines.load_reports import LoadReports
+from springbridge_node.class_router.engines.policies import slot_source
+from springbridge_node.class_router.engines.scheduler_host import TICK_S, SchedulerHost
+from springbridge_node.class_router.node_parts import Services
+from springbridge_node.class_router.operators.operators_http import OperatorServices
+from springbridge_node.class_router.peers.message_intake import IntakeParts, MessageIntake
+from springbridge_node.class_router.peers.messages import (
     Digest,
     Message,
 )
-from springbridge_node.operators_http import OperatorServices
-from springbridge_node.peer_links import NODE_KEY, TOKEN_KEY, PeerLinks
-from springbridge_node.peer_server import PeerService
+from springbridge_node.class_router.peers.peer_links import NODE_KEY, TOKEN_KEY, PeerLinks
+from springbridge_node.class_router.peers.peer_server import PeerService
+from springbridge_node.class_router.requests.answers import KeptAnswers
+from springbridge_node.class_router.requests.home import Home
+from springbridge_node.class_router.requests.limit_gate import LimitGate
+from springbridge_node.class_router.requests.runner import Runner
+from springbridge_node.class_router.serve_settings import Settings, split
 from springbridge_node.periodic import every, guarded
-from springbridge_node.policies import slot_source
-from springbridge_node.runner import Runner
-from springbridge_node.scheduler_host import TICK_S, SchedulerHost
-from springbridge_node.services import Services
-from springbridge_node.settings import Settings, split
 
 LIST_POLL_S = 2.0
 RENEW_TICKS = int(0.4 / TICK_S)
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/config/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' table: read, edited and kept in force."""
--- a/packages/springbridge-node/springbridge_node/config_sync.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
@@ -9,16 +9,16 @@
 
 import orjson
 from returns.result import Failure, Success
-from springbridge.changes import Change, Snapshot, apply, decode_change, encode_change
-from springbridge.freshness import Confirmation, may_serve
-from springbridge.invariants import Invariants
+from springbridge.classes.entities import Table
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.ports import TableStore
+from springbridge.classes.table.changes import Change, Snapshot, apply, decode_change, encode_change
+from springbridge.classes.table.freshness import Confirmation, may_serve
+from springbridge.classes.table.rows import build, updated
 from springbridge.membership import Membership
-from springbridge.ports import TableStore
-from springbridge.records import Table
-from springbridge.rows import build, updated
 
 from springbridge_node import logs
-from springbridge_node.messages import ConfigDelta, ConfigPull, Message
+from springbridge_node.class_router.peers.messages import ConfigDelta, ConfigPull, Message
 
 INVARIANT_VERSION_GROWS = "table version only grows"
 POLL_S = 1.0
--- a/packages/springbridge-node/springbridge_node/editing.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/editing.py
@@ -5,16 +5,16 @@
 from datetime import UTC, datetime
 
 from returns.result import Failure, Result, Success
-from springbridge.changes import Change, Edit, Snapshot, check_edits
+from springbridge.classes.entities import Engine
+from springbridge.classes.ports import MOVED_ON, OrderKind, OrderLease, TableStore
+from springbridge.classes.table.changes import Change, Edit, Snapshot, check_edits
 from springbridge.codes import Code
 from springbridge.membership import Membership
-from springbridge.ports import MOVED_ON, OrderKind, OrderLease, TableStore
 from springbridge.problems import Problem
-from springbridge.records import Engine
 
 from springbridge_node import logs
-from springbridge_node.config_sync import ConfigSync
-from springbridge_node.engine_http import ModelClient
+from springbridge_node.class_router.config.config_sync import ConfigSync
+from springbridge_node.class_router.engines.engine_http import ModelClient
 
 COMMIT_TRIES = 5
 LEASE_MARGIN_S = 5.0
--- a/packages/springbridge-node/springbridge_node/platform_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
@@ -12,9 +12,9 @@
 
 import orjson
 from returns.result import Failure, Result, Success
-from springbridge.changes import Change, Snapshot, decode_change, encode_change
+from springbridge.classes.ports import MOVED_ON, Listed, OrderLease
+from springbridge.classes.table.changes import Change, Snapshot, decode_change, encode_change
 from springbridge.codes import Code
-from springbridge.ports import MOVED_ON, Listed, OrderLease
 from springbridge.problems import Problem
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
--- a/packages/springbridge-node/springbridge_node/configuration_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from springbridge.changes import Edit
+from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 from springbridge_standins.caller import until
 from springbridge_standins.free_addresses import free_address
@@ -11,7 +11,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, Is
 
-from springbridge_node.conftest import call_of
+from springbridge_node.class_router.conftest import call_of
 
 ROW = "share/perth-airport/claim-answers"
 OTHER_ROW = "share/swan/claim-answers"
--- a/packages/springbridge-node/springbridge_node/engine_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/engines/engine_http.py
@@ -10,9 +10,9 @@
 from collections.abc import AsyncIterator
 
 import orjson
-from springbridge.ports import EngineError, Job, NotAdmittedError, OrderKind, OrderLease
-from springbridge.records import Engine
-from springbridge.stream import Chunk
+from springbridge.classes.entities import Engine
+from springbridge.classes.ports import EngineError, Job, NotAdmittedError, OrderKind, OrderLease
+from springbridge.classes.stream import Chunk
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 from tornado.netutil import Resolver
 from tornado.simple_httpclient import HTTPTimeoutError
--- a/packages/springbridge-node/springbridge_node/engine_roles.py
+++ b/packages/springbridge-node/springbridge_node/class_router/engines/engine_roles.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
+from springbridge.classes.slots.slots import ROLE_PREFIX
 from springbridge.hashing import owner
 from springbridge.membership import Membership
-from springbridge.slots import ROLE_PREFIX
 
-from springbridge_node.config_sync import ConfigSync
+from springbridge_node.class_router.config.config_sync import ConfigSync
 
 
 class EngineRoles:
--- a/packages/springbridge-node/springbridge_node/load_reports.py
+++ b/packages/springbridge-node/springbridge_node/class_router/engines/load_reports.py
@@ -3,9 +3,9 @@
 import asyncio
 from collections.abc import Callable
 
-from springbridge.records import Engine, EngineKind, Table
+from springbridge.classes.entities import Engine, EngineKind, Table
 
-from springbridge_node.engine_http import ModelClient
+from springbridge_node.class_router.engines.engine_http import ModelClient
 
 POLL_S = 0.5
 
--- a/packages/springbridge-node/springbridge_node/policies.py
+++ b/packages/springbridge-node/springbridge_node/class_router/engines/policies.py
@@ -1,10 +1,10 @@
 """The policies of scheduling that the settings can name."""
 
-from springbridge.baselines import LeastLoadSlots, RoundRobinSlots
-from springbridge.ports import SlotSource
-from springbridge.slots import ScheduledSlots
+from springbridge.classes.ports import SlotSource
+from springbridge.classes.slots.baselines import LeastLoadSlots, RoundRobinSlots
+from springbridge.classes.slots.slots import ScheduledSlots
 
-from springbridge_node.load_reports import LoadReports
+from springbridge_node.class_router.engines.load_reports import LoadReports
 
 
 def slot_source(policy: str, scheduled: ScheduledSlots, reports: LoadReports) -> SlotSource:
--- a/packages/springbridge-node/springbridge_node/scheduler_host.py
+++ b/packages/springbridge-node/springbridge_node/class_router/engines/scheduler_host.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from functools import singledispatchmethod
 
-from springbridge.decisions import Ask, Decision, Hold, Inventory, Release, Sample
-from springbridge.invariants import Invariants
-from springbridge.records import Table
-from springbridge.scheduler import EngineScheduler
+from springbridge.classes.decisions import Ask, Decision, Hold, Inventory, Release, Sample
+from springbridge.classes.entities import Table
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.slots.scheduler import EngineScheduler
 
 TICK_S = 0.1
 
--- a/packages/springbridge-node/springbridge_node/main.py
+++ b/packages/springbridge-node/springbridge_node/class_router/main.py
@@ -6,7 +6,7 @@
 import typer
 from springbridge import __version__
 
-from springbridge_node.settings import POLICIES, Settings, check
+from springbridge_node.class_router.serve_settings import POLICIES, Settings, check
 
 app = typer.Typer(
     help="Node of springbridge, a router for language-model requests.",
@@ -90,6 +90,6 @@
 
 async def _run(settings: Settings) -> None:
     """Run a node; it is imported here so that --help and --version stay quick."""
-    from springbridge_node.assembly import make_node
+    from springbridge_node.class_router.assembly import make_node
 
     await make_node(settings).run()
--- a/packages/springbridge-node/springbridge_node/main_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/main_test.py
@@ -7,11 +7,11 @@
 from testtools.matchers import Contains, Equals, HasLength
 from typer.testing import CliRunner
 
-from springbridge_node.main import app
-from springbridge_node.settings import Settings, check
-from springbridge_node.settings_page import settings_table
+from springbridge_node.class_router.main import app
+from springbridge_node.class_router.serve_settings import Settings, check
+from springbridge_node.class_router.settings_page import settings_table
 
-DOCS = Path(__file__).parents[3] / "docs"
+DOCS = Path(__file__).parents[4] / "docs"
 
 GOOD = Settings(
     instance="node-1",
--- a/packages/springbridge-node/springbridge_node/services.py
+++ b/packages/springbridge-node/springbridge_node/class_router/node_parts.py
@@ -8,12 +8,12 @@
 from springbridge.membership import Member, Membership
 from springbridge.problems import Problem
 
-from springbridge_node.config_sync import ConfigSync
-from springbridge_node.home import Home
-from springbridge_node.limit_gate import LimitGate
-from springbridge_node.metrics import Metrics
-from springbridge_node.runner import Runner
-from springbridge_node.settings import Settings
+from springbridge_node.class_router.config.config_sync import ConfigSync
+from springbridge_node.class_router.metrics import Metrics
+from springbridge_node.class_router.requests.home import Home
+from springbridge_node.class_router.requests.limit_gate import LimitGate
+from springbridge_node.class_router.requests.runner import Runner
+from springbridge_node.class_router.serve_settings import Settings
 
 CLOSED_RETRY_S = 0.5
 
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/__init__.py
@@ -0,0 +1,1 @@
+"""What operators ask over HTTP."""
--- a/packages/springbridge-node/springbridge_node/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -5,19 +5,19 @@
 
 import orjson
 from returns.result import Failure, Success
-from springbridge.changes import Edit
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.ports import OrderKind, TableStore
+from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
-from springbridge.invariants import Invariants
-from springbridge.ports import OrderKind, TableStore
 from springbridge.problems import Problem
 from tornado.web import RequestHandler
 
 from springbridge_node import logs
-from springbridge_node.caller_handler import JSON, describe
-from springbridge_node.editing import Editor, EditRequest, Orders
-from springbridge_node.peer_links import PeerLinks
-from springbridge_node.scheduler_host import SchedulerHost
-from springbridge_node.services import Services
+from springbridge_node.class_router.callers.caller_handler import JSON, describe
+from springbridge_node.class_router.config.editing import Editor, EditRequest, Orders
+from springbridge_node.class_router.engines.scheduler_host import SchedulerHost
+from springbridge_node.class_router.node_parts import Services
+from springbridge_node.class_router.peers.peer_links import PeerLinks
 
 TOKEN_HEADER = "Springbridge-Operator-Token"
 AUDIT_LIMIT = 1000
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/__init__.py
@@ -0,0 +1,1 @@
+"""Messages between nodes over gRPC."""
--- a/packages/springbridge-node/springbridge_node/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -4,8 +4,8 @@
 from functools import singledispatchmethod
 
 from returns.result import Success
-from springbridge import request_ids
-from springbridge.decisions import (
+from springbridge.classes import request_ids
+from springbridge.classes.decisions import (
     Ask,
     Grant,
     Hold,
@@ -16,14 +16,13 @@
     Release,
     Sample,
 )
-from springbridge.limits import Lease, LeaseAsk
+from springbridge.classes.limits import Lease, LeaseAsk
+from springbridge.classes.slots.slots import ScheduledSlots
 from springbridge.membership import Membership
-from springbridge.slots import ScheduledSlots
 
-from springbridge_node.config_sync import ConfigSync
-from springbridge_node.home import Home
-from springbridge_node.limit_gate import LimitGate
-from springbridge_node.messages import (
+from springbridge_node.class_router.config.config_sync import ConfigSync
+from springbridge_node.class_router.engines.scheduler_host import SchedulerHost
+from springbridge_node.class_router.peers.messages import (
     ConfigDelta,
     ConfigPull,
     Digest,
@@ -31,7 +30,8 @@
     HandOverReply,
     Message,
 )
-from springbridge_node.scheduler_host import SchedulerHost
+from springbridge_node.class_router.requests.home import Home
+from springbridge_node.class_router.requests.limit_gate import LimitGate
 
 
 @dataclass(frozen=True)
--- a/packages/springbridge-node/springbridge_node/messages.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/messages.py
@@ -2,8 +2,7 @@
 
 from dataclasses import dataclass
 
-from springbridge.codes import Code
-from springbridge.decisions import (
+from springbridge.classes.decisions import (
     Ask,
     Grant,
     Hold,
@@ -14,7 +13,8 @@
     Release,
     Sample,
 )
-from springbridge.limits import Lease, LeaseAsk
+from springbridge.classes.limits import Lease, LeaseAsk
+from springbridge.codes import Code
 from springbridge.membership import Member
 
 
--- a/packages/springbridge-node/springbridge_node/peer_codec.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
@@ -5,8 +5,8 @@
 from functools import cache
 from typing import Any, get_args, get_type_hints
 
-from springbridge_node.messages import Message
-from springbridge_node.proto import peer_pb2
+from springbridge_node.class_router.peers.messages import Message
+from springbridge_node.class_router.peers.proto import peer_pb2
 
 
 def _snake(name: str) -> str:
--- a/packages/springbridge-node/springbridge_node/peer_links.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
@@ -15,10 +15,10 @@
 
 from grpclib.client import Channel
 
-from springbridge_node.messages import Message
-from springbridge_node.peer_codec import encode
-from springbridge_node.proto.peer_grpc import PeerStub
-from springbridge_node.settings import split
+from springbridge_node.class_router.peers.messages import Message
+from springbridge_node.class_router.peers.peer_codec import encode
+from springbridge_node.class_router.peers.proto.peer_grpc import PeerStub
+from springbridge_node.class_router.serve_settings import split
 
 QUEUE_LIMIT = 10_000
 RECONNECT_S = 0.2
--- a/packages/springbridge-node/springbridge_node/peer_links_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links_test.py
@@ -6,8 +6,8 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from springbridge_node.messages import Digest
-from springbridge_node.peer_links import PeerLinks
+from springbridge_node.class_router.peers.messages import Digest
+from springbridge_node.class_router.peers.peer_links import PeerLinks
 
 TRIES = 400
 
--- a/packages/springbridge-node/springbridge_node/peer_server.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
@@ -6,12 +6,12 @@
 from grpclib import GRPCError, Status
 from springbridge.codes import Code
 
-from springbridge_node.answers import KeptAnswers
-from springbridge_node.messages import Message
-from springbridge_node.peer_codec import decode
-from springbridge_node.peer_links import TOKEN_KEY
-from springbridge_node.proto import peer_pb2
-from springbridge_node.proto.peer_grpc import PeerBase
+from springbridge_node.class_router.peers.messages import Message
+from springbridge_node.class_router.peers.peer_codec import decode
+from springbridge_node.class_router.peers.peer_links import TOKEN_KEY
+from springbridge_node.class_router.peers.proto import peer_pb2
+from springbridge_node.class_router.peers.proto.peer_grpc import PeerBase
+from springbridge_node.class_router.requests.answers import KeptAnswers
 
 
 class PeerService(PeerBase):
--- a/packages/springbridge-node/springbridge_node/platform_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/platform_test.py
@@ -4,19 +4,23 @@
 
 import pytest
 from returns.result import Failure, Success
-from springbridge.changes import Change, Edit
+from springbridge.classes.entities import Engine, EngineKind
+from springbridge.classes.ports import OrderKind
+from springbridge.classes.table.changes import Change, Edit
 from springbridge.codes import Code
-from springbridge.ports import OrderKind
-from springbridge.records import Engine, EngineKind
 from springbridge_standins.engine import ModelEngine
 from springbridge_standins.free_addresses import free_address
 from springbridge_standins.platform import Platform
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength, Is
 
-from springbridge_node.editing import Orders
-from springbridge_node.engine_http import ModelClient, make_client
-from springbridge_node.platform_http import ORDER_LEASE_S, HttpInstanceList, HttpTableStore
+from springbridge_node.class_router.config.editing import Orders
+from springbridge_node.class_router.config.platform_http import (
+    ORDER_LEASE_S,
+    HttpInstanceList,
+    HttpTableStore,
+)
+from springbridge_node.class_router.engines.engine_http import ModelClient, make_client
 
 ROW = "class/claims"
 CELLS = {"tier": "urgent"}
--- a/packages/springbridge-node/springbridge_node/answers.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/answers.py
@@ -5,8 +5,8 @@
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
 
+from springbridge.classes.stream import Chunk
 from springbridge.problems import Problem
-from springbridge.stream import Chunk
 
 KEEP_ANSWERS_S = 120.0
 KEEP_ANSWERS_CHARS = 4_000_000
--- a/packages/springbridge-node/springbridge_node/attempts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/attempts.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
+from springbridge.classes.decisions import Outcome, Sample
+from springbridge.classes.entities import Engine, EngineKind, Request
+from springbridge.classes.stream import Chunk
 from springbridge.codes import Code, Fate
-from springbridge.decisions import Outcome, Sample
 from springbridge.problems import Problem
-from springbridge.records import Engine, EngineKind, Request
-from springbridge.stream import Chunk
 
 STALL_TARGETS = 30
 SHORTEST_STALL_S = 2.0
--- a/packages/springbridge-node/springbridge_node/admission.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/class_admission.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 from returns.result import Failure, Result, Success
+from springbridge.classes.entities import Customer, RequestClass, Share, Table
+from springbridge.classes.placement import allowed_places
+from springbridge.classes.request_ids import RequestId, parse
 from springbridge.codes import Code
-from springbridge.placement import allowed_places
 from springbridge.problems import Problem
-from springbridge.records import Customer, RequestClass, Share, Table
-from springbridge.request_ids import RequestId, parse
 
 CLASS_HEADER = "Springbridge-Class"
 ID_HEADER = "Springbridge-Request-Id"
--- a/packages/springbridge-node/springbridge_node/home.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/home.py
@@ -1,6 +1,6 @@
 """Requests that are not repeatable: found, handed over, relayed or run by their home.
 
-See springbridge.binding for the record and docs/design/at-most-once.md for the reasons.
+See springbridge.classes.binding for the record and docs/design/at-most-once.md for the reasons.
 """
 
 import asyncio
@@ -9,22 +9,22 @@
 
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 from returns.result import Failure, Result, Success
-from springbridge.binding import Bindings, Record, Stage
+from springbridge.classes.binding import Bindings, Record, Stage
+from springbridge.classes.entities import EngineKind
+from springbridge.classes.ports import TableStore
+from springbridge.classes.request_ids import RequestId
+from springbridge.classes.stream import Chunk, StreamCheck
 from springbridge.codes import Code
 from springbridge.membership import Membership
-from springbridge.ports import TableStore
 from springbridge.problems import Problem
-from springbridge.records import EngineKind
-from springbridge.request_ids import RequestId
-from springbridge.stream import Chunk, StreamCheck
 
-from springbridge_node.answers import Answer, KeptAnswers
-from springbridge_node.attempts import Work
-from springbridge_node.messages import HandOver, HandOverReply, Message
-from springbridge_node.peer_links import open_channel
-from springbridge_node.proto import peer_pb2
-from springbridge_node.proto.peer_grpc import PeerStub
-from springbridge_node.runner import Runner
+from springbridge_node.class_router.peers.messages import HandOver, HandOverReply, Message
+from springbridge_node.class_router.peers.peer_links import open_channel
+from springbridge_node.class_router.peers.proto import peer_pb2
+from springbridge_node.class_router.peers.proto.peer_grpc import PeerStub
+from springbridge_node.class_router.requests.answers import Answer, KeptAnswers
+from springbridge_node.class_router.requests.attempts import Work
+from springbridge_node.class_router.requests.runner import Runner
 
 HOME_PATIENCE_S = 1.0
 RELAY_STALL_S = 10.0
--- a/packages/springbridge-node/springbridge_node/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -5,14 +5,14 @@
 from contextlib import contextmanager
 
 from returns.result import Failure, Result, Success
+from springbridge.classes.entities import Share, Table
+from springbridge.classes.limits import Lease, LeaseAsk, LimitOwner, NodeLimit
 from springbridge.codes import Code
 from springbridge.hashing import owner
-from springbridge.limits import Lease, LeaseAsk, LimitOwner, NodeLimit
 from springbridge.membership import Membership
 from springbridge.problems import Problem
-from springbridge.records import Share, Table
 
-from springbridge_node.messages import Message
+from springbridge_node.class_router.peers.messages import Message
 
 OWNER_PATIENCE_S = 0.25
 IDLE_KEEP_S = 60.0
--- a/packages/springbridge-node/springbridge_node/runner.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
@@ -8,10 +8,10 @@
 from collections.abc import AsyncIterator, Callable
 
 from returns.result import Failure, Success
-from springbridge.binding import Bindings
-from springbridge.codes import Code
-from springbridge.decisions import Outcome
-from springbridge.ports import (
+from springbridge.classes.binding import Bindings
+from springbridge.classes.decisions import Outcome
+from springbridge.classes.entities import Engine, EngineKind, Request
+from springbridge.classes.ports import (
     Attempt,
     EngineClient,
     EngineError,
@@ -20,13 +20,13 @@
     Slot,
     SlotSource,
 )
+from springbridge.classes.retry_budget import RetryBudget
+from springbridge.classes.stream import Chunk, StreamCheck
+from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.records import Engine, EngineKind, Request
-from springbridge.retry_budget import RetryBudget
-from springbridge.stream import Chunk, StreamCheck
 
-from springbridge_node.answers import Answer
-from springbridge_node.attempts import (
+from springbridge_node.class_router.requests.answers import Answer
+from springbridge_node.class_router.requests.attempts import (
     End,
     Progress,
     Work,
--- a/packages/springbridge-node/springbridge_node/settings.py
+++ b/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
@@ -3,9 +3,9 @@
 import re
 from dataclasses import dataclass
 
+from springbridge.classes.table.rows import NAME
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.rows import NAME
 
 ADDRESS = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:(\d{1,5})\Z")
 SHORTEST_TOKEN = 16
--- a/packages/springbridge-node/springbridge_node/settings_page.py
+++ b/packages/springbridge-node/springbridge_node/class_router/settings_page.py
@@ -2,7 +2,7 @@
 
 import typer
 
-from springbridge_node.main import app
+from springbridge_node.class_router.main import app
 
 
 def settings_table() -> str:
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway: the program that runs on the platform."""
--- a/packages/springbridge-node/springbridge_node/callers/directory_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/directory_test.py
@@ -7,7 +7,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, HasLength
 
-from springbridge_node.callers.directory import MOST_ADDRESSES, AddressBook
+from springbridge_node.gateway.callers.directory import MOST_ADDRESSES, AddressBook
 
 PLACES = ("perth-a", "perth-b", "perth-c")
 HOSTS = ("desk.example", "council.example", "airport.example", "transit.example")
--- a/packages/springbridge-node/springbridge_node/callers/ingress.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
@@ -19,7 +19,7 @@
 )
 
 from springbridge_node import logs
-from springbridge_node.callers.answer import CallerAnswer, CallerGoneError
+from springbridge_node.gateway.callers.answer import CallerAnswer, CallerGoneError
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/springbridge-node/springbridge_node/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -16,14 +16,14 @@
 from springbridge.routing.admission import RouteIndex
 
 from springbridge_node import logs
-from springbridge_node.config.dependency import Dependency
-from springbridge_node.config.ports import (
+from springbridge_node.gateway.config.dependency import Dependency
+from springbridge_node.gateway.config.platform_store import (
     ConfigurationDocument,
     ConfigurationNews,
     ConfigurationReader,
     PlatformStore,
 )
-from springbridge_node.config.store_readers import StoreReaders
+from springbridge_node.gateway.config.store_readers import StoreReaders
 
 WAIT_S = 15.0
 RETRY_S = 0.25
--- a/packages/springbridge-node/springbridge_node/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -10,12 +10,12 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge_node.config.configuration_follower import (
+from springbridge_node.gateway.config.configuration_follower import (
     CONFIRMED_S,
     LOOK_S,
     ConfigurationFollower,
 )
-from springbridge_node.config.ports import ConfigurationDocument, ConfigurationNews
+from springbridge_node.gateway.config.platform_store import ConfigurationDocument, ConfigurationNews
 
 VERSION = 3
 FOREVER_S = 60.0
--- a/packages/springbridge-node/springbridge_node/config/engine_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
@@ -7,13 +7,13 @@
 
 from returns.result import Failure, Success
 from springbridge.membership import ListingSeen, Membership
-from springbridge.routing.engine_board import EngineBoard
+from springbridge.routing.endpoint_registry import EngineBoard
 from springbridge.routing.records import EngineListing
 
 from springbridge_node import logs
-from springbridge_node.config.dependency import Dependency
-from springbridge_node.config.ports import PlatformStore
-from springbridge_node.config.store_readers import StoreReaders
+from springbridge_node.gateway.config.dependency import Dependency
+from springbridge_node.gateway.config.platform_store import PlatformStore
+from springbridge_node.gateway.config.store_readers import StoreReaders
 
 READERS = 2
 CONFIRMED_S = 1.1
--- a/packages/springbridge-node/springbridge_node/config/engine_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -8,13 +8,17 @@
 from springbridge.codes import Code
 from springbridge.membership import ListingSeen, Member, Membership
 from springbridge.problems import Problem
-from springbridge.routing.engine_board import EngineBoard
+from springbridge.routing.endpoint_registry import EngineBoard
 from springbridge.routing.records import EngineEntry, EngineListing
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge_node.config.conftest import Clock
-from springbridge_node.config.engine_follower import CONFIRMED_S, AgedListing, EngineFollower
+from springbridge_node.gateway.config.conftest import Clock
+from springbridge_node.gateway.config.endpoint_follower import (
+    CONFIRMED_S,
+    AgedListing,
+    EngineFollower,
+)
 
 LISTING = EngineListing(7, (EngineEntry("e1", "model", "127.0.0.1:1", "a", 4, False),))
 TURN_S = 0.5
--- a/packages/springbridge-node/springbridge_node/config/store_readers_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
@@ -7,7 +7,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from springbridge_node.config.store_readers import ASK_SEEDS_FIRST_S, TURN_S, StoreReaders
+from springbridge_node.gateway.config.store_readers import ASK_SEEDS_FIRST_S, TURN_S, StoreReaders
 
 NODES = 40
 READERS = 5
--- a/packages/springbridge-node/springbridge_node/engines/pool.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
@@ -5,7 +5,7 @@
 
 from springbridge.routing.records import EngineEntry, Service
 
-from springbridge_node.wire.http_connection import HttpConnection, connect
+from springbridge_node.gateway.http.http_connection import HttpConnection, connect
 
 CONNECT_TIMEOUT_S = 0.4
 LONGEST_REST_S = 4.0
--- a/packages/springbridge-node/springbridge_node/engines/prober.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_state import EngineState
+from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.endpoint_state import EngineState
 
 from springbridge_node import logs
-from springbridge_node.engines.pool import EnginePool
-from springbridge_node.wire.http_connection import ConnectFailedError
+from springbridge_node.gateway.endpoints.pool import EnginePool
+from springbridge_node.gateway.http.http_connection import ConnectFailedError
 
 INTERVAL_S = 0.25
 
--- a/packages/springbridge-node/springbridge_node/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -11,37 +11,37 @@
 from springbridge.membership import Member, Membership, Pace
 from springbridge.problems import Problem
 from springbridge.routing.admission import RouteIndex
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import Chooser
+from springbridge.routing.endpoint_choice import Chooser
+from springbridge.routing.endpoint_registry import EngineBoard
 from springbridge.routing.records import CallerLimits
-from springbridge.routing.shared_budget import SharedRetryBudget
+from springbridge.routing.shared_retry_budget import SharedRetryBudget
 
 from springbridge_node import logs
-from springbridge_node.callers.answer import CallerAnswer
-from springbridge_node.callers.directory import AddressBook
-from springbridge_node.callers.ingress import CallerListener, IncomingRequest
-from springbridge_node.config.configuration_follower import STORE, ConfigurationFollower
-from springbridge_node.config.engine_follower import EngineFollower
-from springbridge_node.config.ports import ConfigurationReader, PlatformStore
-from springbridge_node.config.store_readers import StoreReaders
-from springbridge_node.engines.pool import EnginePool
-from springbridge_node.engines.prober import EngineProber
-from springbridge_node.gateway_settings import GatewaySettings
-from springbridge_node.peers.datagrams import PeerDatagrams
-from springbridge_node.peers.knowledge import PeerKnowledge, peer_handlers
-from springbridge_node.peers.presence import (
+from springbridge_node.gateway.callers.answer import CallerAnswer
+from springbridge_node.gateway.callers.directory import AddressBook
+from springbridge_node.gateway.callers.ingress import CallerListener, IncomingRequest
+from springbridge_node.gateway.config.configuration_follower import STORE, ConfigurationFollower
+from springbridge_node.gateway.config.endpoint_follower import EngineFollower
+from springbridge_node.gateway.config.platform_store import ConfigurationReader, PlatformStore
+from springbridge_node.gateway.config.store_readers import StoreReaders
+from springbridge_node.gateway.endpoints.pool import EnginePool
+from springbridge_node.gateway.endpoints.prober import EngineProber
+from springbridge_node.gateway.gateway_settings import GatewaySettings
+from springbridge_node.gateway.http.small_server import TEXT, Handler, Reply, SmallServer
+from springbridge_node.gateway.peers.datagrams import PeerDatagrams
+from springbridge_node.gateway.peers.heartbeats import (
     ALONE_READ_S,
     BEAT_S,
     FIND_PEERS_AFTER_S,
     Presence,
 )
+from springbridge_node.gateway.peers.peer_snapshots import PeerKnowledge, peer_handlers
+from springbridge_node.gateway.requests.request_codec import WireFormat
+from springbridge_node.gateway.requests.request_log import RequestJournal
+from springbridge_node.gateway.requests.router import RequestRouter, RouterParts
+from springbridge_node.gateway.requests.selection_parts import Scheduling
+from springbridge_node.gateway.telemetry import Telemetry
 from springbridge_node.periodic import every
-from springbridge_node.requests.journal import RequestJournal
-from springbridge_node.requests.router import RequestRouter, RouterParts
-from springbridge_node.requests.scheduling import Scheduling
-from springbridge_node.requests.wire_format import WireFormat
-from springbridge_node.telemetry import Telemetry
-from springbridge_node.wire.small_server import TEXT, Handler, Reply, SmallServer
 
 PACE = Pace(peers=3, suspect_s=1.2)
 SWEEP_S = 2.0
--- a/packages/springbridge-node/springbridge_node/gateway_settings.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from springbridge.routing.shared_budget import BudgetTerms
+from springbridge.routing.shared_retry_budget import BudgetTerms
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/springbridge-node/springbridge_node/wire/calls.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/calls.py
@@ -3,8 +3,12 @@
 import asyncio
 from dataclasses import dataclass
 
-from springbridge_node.wire.http_connection import ConnectFailedError, HttpConnection, connect
-from springbridge_node.wire.http_head import AnswerBrokenError
+from springbridge_node.gateway.http.http_connection import (
+    ConnectFailedError,
+    HttpConnection,
+    connect,
+)
+from springbridge_node.gateway.http.http_head import AnswerBrokenError
 
 CONNECT_TIMEOUT_S = 0.6
 LONGEST_REST_S = 5.0
--- a/packages/springbridge-node/springbridge_node/wire/http_connection.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
@@ -13,7 +13,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from springbridge_node.wire.http_head import (
+from springbridge_node.gateway.http.http_head import (
     AnswerBrokenError,
     Head,
     chunk_length,
--- a/packages/springbridge-node/springbridge_node/lifecycle.py
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
@@ -11,8 +11,8 @@
 from collections.abc import AsyncIterator, Callable
 
 from springbridge_node import logs
-from springbridge_node.gateway import Gateway
-from springbridge_node.gateway_settings import GatewaySettings
+from springbridge_node.gateway.gateway import Gateway
+from springbridge_node.gateway.gateway_settings import GatewaySettings
 
 SERVE_ON_S = 2.8
 END_MARGIN_S = 0.25
--- a/packages/springbridge-node/springbridge_node/peers/scheduler_set.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from springbridge.membership import Member, Membership
-from springbridge.routing.schedulers import in_order_for, schedulers
+from springbridge.routing.coordinators import in_order_for, schedulers
 
 from springbridge_node import logs
 
--- a/packages/springbridge-node/springbridge_node/peers/datagrams_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/datagrams_test.py
@@ -7,7 +7,7 @@
 
 from springbridge.membership import Member, Membership
 
-from springbridge_node.peers.datagrams import PeerDatagrams
+from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 
 IP = "127.0.0.1"
 
--- a/packages/springbridge-node/springbridge_node/peers/gossip.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/gossip.py
@@ -12,7 +12,7 @@
 from springbridge.membership import ListingSeen, Member, Membership, Phase
 
 from springbridge_node import logs
-from springbridge_node.peers.datagrams import Kind, PeerDatagrams
+from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 
 PUSHED_PEERS = 64
 WHOLE_EVERY = 12
--- a/packages/springbridge-node/springbridge_node/peers/presence.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
@@ -7,13 +7,16 @@
 from springbridge.membership import Membership
 
 from springbridge_node import logs
-from springbridge_node.config.configuration_follower import FEED_READERS, ConfigurationFollower
-from springbridge_node.config.engine_follower import EngineFollower
-from springbridge_node.config.ports import PlatformStore
-from springbridge_node.config.store_readers import StoreReaders
-from springbridge_node.peers.datagrams import PeerDatagrams
-from springbridge_node.peers.gossip import Gossip
-from springbridge_node.peers.knowledge import PeerKnowledge
+from springbridge_node.gateway.config.configuration_follower import (
+    FEED_READERS,
+    ConfigurationFollower,
+)
+from springbridge_node.gateway.config.endpoint_follower import EngineFollower
+from springbridge_node.gateway.config.platform_store import PlatformStore
+from springbridge_node.gateway.config.store_readers import StoreReaders
+from springbridge_node.gateway.peers.datagrams import PeerDatagrams
+from springbridge_node.gateway.peers.gossip import Gossip
+from springbridge_node.gateway.peers.peer_snapshots import PeerKnowledge
 
 BEAT_S = 0.25
 STALL_S = 0.6
--- a/packages/springbridge-node/springbridge_node/peers/load_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
@@ -9,14 +9,14 @@
 import contextlib
 from collections.abc import Callable, Iterator
 
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import Choice
-from springbridge.routing.load import LoadNotice, LoadPhase, attempt_name
+from springbridge.routing.endpoint_choice import Choice
+from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.load_notices import LoadNotice, LoadPhase, attempt_name
 from springbridge.routing.records import Demand
 from springbridge.routing.selection import start_notice
 
-from springbridge_node.peers import prompt_rows
-from springbridge_node.peers.datagrams import Kind, PeerDatagrams
+from springbridge_node.gateway.peers import prompt_rows
+from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 
 GATHER_S = 0.01
 MOST_IN_A_DATAGRAM = 8
--- a/packages/springbridge-node/springbridge_node/peers/load_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing_test.py
@@ -6,16 +6,16 @@
 
 import pytest
 from springbridge.membership import Member, Membership
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import Choice
+from springbridge.routing.coordinators import schedulers
+from springbridge.routing.endpoint_choice import Choice
+from springbridge.routing.endpoint_registry import EngineBoard
 from springbridge.routing.records import Demand, EngineEntry, EngineListing
-from springbridge.routing.schedulers import schedulers
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
-from springbridge_node.peers.datagrams import PeerDatagrams
-from springbridge_node.peers.load_sharing import GATHER_S, LoadSharing
-from springbridge_node.peers.scheduler_set import MOST_EQUALS, SchedulerSet
+from springbridge_node.gateway.peers.coordinator_set import MOST_EQUALS, SchedulerSet
+from springbridge_node.gateway.peers.datagrams import PeerDatagrams
+from springbridge_node.gateway.peers.load_sharing import GATHER_S, LoadSharing
 
 ENTRY = EngineEntry("e1", "model", "10.1.0.1:80", "perth-a", 4, False)
 DEMAND = Demand("q", "model", "perth-a", 2, 2.5)
--- a/packages/springbridge-node/springbridge_node/peers/knowledge.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_snapshots.py
@@ -11,14 +11,14 @@
 
 import orjson
 from springbridge.membership import Membership
-from springbridge.routing.engine_board import EngineBoard
+from springbridge.routing.endpoint_registry import EngineBoard
 from springbridge.routing.records import EngineEntry, EngineListing
 
-from springbridge_node.config.configuration_follower import ConfigurationFollower
-from springbridge_node.config.engine_follower import AgedListing
-from springbridge_node.config.ports import ConfigurationDocument
-from springbridge_node.wire.calls import Caller, CallFailedError
-from springbridge_node.wire.small_server import Handler, Reply
+from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
+from springbridge_node.gateway.config.endpoint_follower import AgedListing
+from springbridge_node.gateway.config.platform_store import ConfigurationDocument
+from springbridge_node.gateway.http.calls import Caller, CallFailedError
+from springbridge_node.gateway.http.small_server import Handler, Reply
 
 CONFIGURATION_PATH = "/peer/configuration"
 ENGINES_PATH = "/peer/engines"
--- a/packages/springbridge-node/springbridge_node/peers/assignments.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/remote_selection.py
@@ -12,16 +12,16 @@
 from collections.abc import Callable, Collection
 from dataclasses import astuple, dataclass
 
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import Choice, Chooser
-from springbridge.routing.load import LoadNotice, LoadPhase
+from springbridge.routing.endpoint_choice import Choice, Chooser
+from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.overload import Overload
 from springbridge.routing.records import Demand
 from springbridge.routing.selection import Selection, select, start_notice
 
-from springbridge_node.peers import prompt_rows
-from springbridge_node.peers.datagrams import Kind, PeerDatagrams
-from springbridge_node.peers.scheduler_set import SchedulerSet
+from springbridge_node.gateway.peers import prompt_rows
+from springbridge_node.gateway.peers.coordinator_set import SchedulerSet
+from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 
 ANSWER_S = 0.08
 CONFIRMED_S = 0.5
--- a/packages/springbridge-node/springbridge_node/peers/assignments_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/remote_selection_test.py
@@ -5,21 +5,21 @@
 
 import pytest
 from springbridge.membership import Member, Membership
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import by_token_cost
-from springbridge.routing.load import LoadNotice, LoadPhase
+from springbridge.routing.coordinators import in_order_for, schedulers
+from springbridge.routing.endpoint_choice import by_token_cost
+from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.records import Demand, EngineEntry, EngineListing, PromptPart
-from springbridge.routing.schedulers import in_order_for, schedulers
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is, Not
 
-from springbridge_node.peers.assignments import (
+from springbridge_node.gateway.peers.coordinator_set import AVOIDED_S, SchedulerSet
+from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
+from springbridge_node.gateway.peers.remote_selection import (
     CONFIRMED_S,
     AssignmentClient,
     AssignmentServer,
 )
-from springbridge_node.peers.datagrams import Kind, PeerDatagrams
-from springbridge_node.peers.scheduler_set import AVOIDED_S, SchedulerSet
 
 PARTS = (PromptPart("shared", 13_000), PromptPart("own", 3_000))
 TARGET_S = 2.5
--- a/packages/springbridge-node/springbridge_node/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -14,12 +14,12 @@
 from springbridge.routing.event_stream import EventSplitter
 from springbridge.routing.records import Admitted, Demand
 
-from springbridge_node.callers.answer import CallerAnswer
-from springbridge_node.callers.ingress import IncomingRequest
-from springbridge_node.peers.load_sharing import SharedLoad
-from springbridge_node.requests.wire_format import WireFormat
-from springbridge_node.wire.http_connection import HttpConnection
-from springbridge_node.wire.http_head import AnswerBrokenError, Head
+from springbridge_node.gateway.callers.answer import CallerAnswer
+from springbridge_node.gateway.callers.ingress import IncomingRequest
+from springbridge_node.gateway.http.http_connection import HttpConnection
+from springbridge_node.gateway.http.http_head import AnswerBrokenError, Head
+from springbridge_node.gateway.peers.load_sharing import SharedLoad
+from springbridge_node.gateway.requests.request_codec import WireFormat
 
 HELD_BYTES = 256 << 10
 STALE_ANSWERS = 3
--- a/packages/springbridge-node/springbridge_node/requests/engine_selector.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_selector.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Collection
 
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import Chooser, by_shared_prompt, by_token_cost
+from springbridge.routing.endpoint_choice import Chooser, by_shared_prompt, by_token_cost
+from springbridge.routing.endpoint_registry import EngineBoard
 from springbridge.routing.records import Demand
 from springbridge.routing.selection import Selection, select
 
-from springbridge_node.peers.assignments import AssignmentClient
-from springbridge_node.peers.load_sharing import LoadSharing
-from springbridge_node.peers.scheduler_set import SchedulerSet
+from springbridge_node.gateway.peers.coordinator_set import SchedulerSet
+from springbridge_node.gateway.peers.load_sharing import LoadSharing
+from springbridge_node.gateway.peers.remote_selection import AssignmentClient
 
 
 class EngineSelector:
--- a/packages/springbridge-node/springbridge_node/requests/outcomes.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/outcomes.py
@@ -2,11 +2,11 @@
 
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.routing.engine_choice import Choice
+from springbridge.routing.endpoint_choice import Choice
 from springbridge.routing.overload import Overload
 from springbridge.routing.records import Admitted
 
-from springbridge_node.requests.attempt import ChosenEngine, End, Exchange
+from springbridge_node.gateway.requests.attempt import ChosenEngine, End, Exchange
 
 LEAST_RETRY_AFTER_S = 0.05
 RETRY_AFTER_SHARE = 0.1
--- a/packages/springbridge-node/springbridge_node/requests/wire_format.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_codec.py
@@ -6,8 +6,8 @@
 from springbridge.routing.records import Admitted, Arrival, EngineEntry
 from tornado.httputil import HTTPHeaders
 
-from springbridge_node.callers.ingress import IncomingRequest
-from springbridge_node.wire.http_head import Head
+from springbridge_node.gateway.callers.ingress import IncomingRequest
+from springbridge_node.gateway.http.http_head import Head
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/springbridge-node/springbridge_node/requests/journal.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -4,12 +4,12 @@
 from dataclasses import asdict, dataclass
 
 from springbridge.problems import Problem
-from springbridge.routing.engine_state import EngineState
+from springbridge.routing.endpoint_state import EngineState
 from springbridge.routing.records import Arrival
 
 from springbridge_node import logs
-from springbridge_node.requests.attempt import End, Exchange
-from springbridge_node.telemetry import Telemetry
+from springbridge_node.gateway.requests.attempt import End, Exchange
+from springbridge_node.gateway.telemetry import Telemetry
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/springbridge-node/springbridge_node/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -14,17 +14,19 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 from springbridge.routing.admission import RouteIndex, admit
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import Choice
-from springbridge.routing.engine_state import EngineState
+from springbridge.routing.endpoint_choice import Choice
+from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.endpoint_state import EngineState
 from springbridge.routing.records import Demand
-from springbridge.routing.shared_budget import SharedRetryBudget
+from springbridge.routing.shared_retry_budget import SharedRetryBudget
 
-from springbridge_node.callers.answer import CallerAnswer
-from springbridge_node.callers.ingress import IncomingRequest
-from springbridge_node.engines.pool import EngineBusyError, EnginePool
-from springbridge_node.peers.load_sharing import LoadSharing
-from springbridge_node.requests.attempt import (
+from springbridge_node.gateway.callers.answer import CallerAnswer
+from springbridge_node.gateway.callers.ingress import IncomingRequest
+from springbridge_node.gateway.endpoints.pool import EngineBusyError, EnginePool
+from springbridge_node.gateway.http.http_connection import ConnectFailedError, HttpConnection
+from springbridge_node.gateway.http.http_head import AnswerBrokenError
+from springbridge_node.gateway.peers.load_sharing import LoadSharing
+from springbridge_node.gateway.requests.attempt import (
     SERVER_ERROR,
     End,
     Exchange,
@@ -38,9 +40,8 @@
     send_held_failure,
     within,
 )
-from springbridge_node.requests.engine_selector import EngineSelector
-from springbridge_node.requests.journal import CALLER_LEFT, SERVED, Ending, RequestJournal
-from springbridge_node.requests.outcomes import (
+from springbridge_node.gateway.requests.endpoint_selector import EngineSelector
+from springbridge_node.gateway.requests.outcomes import (
     chosen_engine,
     is_repeatable,
     may_try_another,
@@ -49,9 +50,13 @@
     overload_problem,
     problem_after,
 )
-from springbridge_node.requests.wire_format import WireFormat
-from springbridge_node.wire.http_connection import ConnectFailedError, HttpConnection
-from springbridge_node.wire.http_head import AnswerBrokenError
+from springbridge_node.gateway.requests.request_codec import WireFormat
+from springbridge_node.gateway.requests.request_log import (
+    CALLER_LEFT,
+    SERVED,
+    Ending,
+    RequestJournal,
+)
 
 LEAST_LEFT_S = 0.005
 UNREACHED_ENGINES = 4
--- a/packages/springbridge-node/springbridge_node/requests/scheduling.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/selection_parts.py
@@ -1,14 +1,14 @@
 """All that decides which engine serves a request at this node, joined."""
 
 from springbridge.membership import Membership
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import Chooser, by_token_cost
-
-from springbridge_node.peers.assignments import AssignmentClient, AssignmentServer
-from springbridge_node.peers.datagrams import PeerDatagrams
-from springbridge_node.peers.load_sharing import LoadSharing
-from springbridge_node.peers.scheduler_set import SchedulerSet
-from springbridge_node.requests.engine_selector import EngineSelector
+from springbridge.routing.endpoint_choice import Chooser, by_token_cost
+from springbridge.routing.endpoint_registry import EngineBoard
+
+from springbridge_node.gateway.peers.coordinator_set import SchedulerSet
+from springbridge_node.gateway.peers.datagrams import PeerDatagrams
+from springbridge_node.gateway.peers.load_sharing import LoadSharing
+from springbridge_node.gateway.peers.remote_selection import AssignmentClient, AssignmentServer
+from springbridge_node.gateway.requests.endpoint_selector import EngineSelector
 
 
 class Scheduling:
--- a/packages/springbridge-standins/springbridge_standins/capacity_library.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity_library.py
@@ -4,19 +4,19 @@
 from collections.abc import Callable
 from time import perf_counter
 
-from springbridge.binding import Bindings
-from springbridge.changes import Change, Edit, Snapshot, apply
-from springbridge.decisions import Ask, Inventory, Outcome, Release, Sample
+from springbridge.classes.binding import Bindings
+from springbridge.classes.decisions import Ask, Inventory, Outcome, Release, Sample
+from springbridge.classes.entities import Share, Tier
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.limits import LimitOwner, NodeLimit
+from springbridge.classes.request_ids import parse, prefix
+from springbridge.classes.slots.scheduler import EngineScheduler
+from springbridge.classes.table.changes import Change, Edit, Snapshot, apply
+from springbridge.classes.table.rows import build, updated
 from springbridge.hashing import owner
-from springbridge.invariants import Invariants
-from springbridge.limits import LimitOwner, NodeLimit
 from springbridge.membership import Member, Membership
-from springbridge.records import Share, Tier
-from springbridge.request_ids import parse, prefix
-from springbridge.rows import build, updated
-from springbridge.scheduler import EngineScheduler
-from springbridge_node.messages import Digest
-from springbridge_node.peer_codec import decode, encode
+from springbridge_node.class_router.peers.messages import Digest
+from springbridge_node.class_router.peers.peer_codec import decode, encode
 
 from springbridge_standins.capacity_fit import Slope, measure, memory
 
--- a/packages/springbridge-standins/springbridge_standins/demo.py
+++ b/packages/springbridge-standins/springbridge_standins/demo.py
@@ -7,7 +7,7 @@
 import asyncio
 import sys
 
-from springbridge.changes import Edit
+from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 
 from springbridge_standins.caller import Call, Reply, new_id
--- a/packages/springbridge-standins/springbridge_standins/free_addresses.py
+++ b/packages/springbridge-standins/springbridge_standins/free_addresses.py
@@ -5,7 +5,7 @@
 import socket
 from collections.abc import Mapping
 
-from springbridge.rows import Cells
+from springbridge.classes.table.rows import Cells
 
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
--- a/packages/springbridge-standins/springbridge_standins/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/soak.py
@@ -15,9 +15,9 @@
 from typing import Annotated
 
 import typer
-from springbridge.changes import Edit
+from springbridge.classes.invariants import ABORT_STATUS
+from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
-from springbridge.invariants import ABORT_STATUS
 
 from springbridge_standins.load import Load, customers_of, fleet_streams
 from springbridge_standins.soak_faults import FAULTS
--- a/packages/springbridge-standins/springbridge_standins/users_platform/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/fleet.py
@@ -7,9 +7,9 @@
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
 
-from springbridge.routing.shared_budget import BudgetTerms
-from springbridge_node.gateway import Gateway, Outside
-from springbridge_node.gateway_settings import Addresses, GatewaySettings
+from springbridge.routing.shared_retry_budget import BudgetTerms
+from springbridge_node.gateway.gateway import Gateway, Outside
+from springbridge_node.gateway.gateway_settings import Addresses, GatewaySettings
 
 from springbridge_standins.users_platform.engine import EngineStandIn, Script, running_engine
 from springbridge_standins.users_platform.store import StoreStandIn, running_store
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -3,56 +3,56 @@
 from springbridge_standins.mutant import LIBRARY, NODE, PLATFORM, Mutant
 
 REQUESTS = f"{PLATFORM}/requests_test.py"
-BOARD = f"{LIBRARY}/routing/engine_board_test.py"
-ASSIGNMENTS = f"{NODE}/peers/assignments_test.py"
-FOLLOWER = f"{NODE}/config/configuration_follower_test.py"
+BOARD = f"{LIBRARY}/routing/endpoint_registry_test.py"
+ASSIGNMENTS = f"{NODE}/gateway/peers/remote_selection_test.py"
+FOLLOWER = f"{NODE}/gateway/config/configuration_follower_test.py"
 
 USERS_PLATFORM = (
     Mutant(
         "only what an engine promised not to have run is sent again",
-        f"{NODE}/requests/outcomes.py",
+        f"{NODE}/gateway/requests/outcomes.py",
         "return not exchange.progress.may_have_run or is_repeatable(exchange.admitted)",
         "return True",
         f"{REQUESTS}::test_a_request_that_may_not_be_repeated_is_sent_once",
     ),
     Mutant(
         "answers are matched by id",
-        f"{NODE}/requests/attempt.py",
+        f"{NODE}/gateway/requests/attempt.py",
         'if answered in ("", request_id):',
         "if True:",
         f"{PLATFORM}/answers_test.py::test_a_stale_answer_is_passed_over",
     ),
     Mutant(
         "events that the caller has are dropped",
-        f"{NODE}/requests/attempt.py",
+        f"{NODE}/gateway/requests/attempt.py",
         "return int(event_id) > int(progress.last_event)",
         "return True",
         f"{PLATFORM}/streams_test.py::test_events_that_come_twice_are_passed_on_once",
     ),
     Mutant(
         "an engine that is gone does not count",
-        f"{NODE}/requests/router.py",
+        f"{NODE}/gateway/requests/router.py",
         "progress.misdirected += verdict.other_engine",
         "pass",
         f"{REQUESTS}::test_an_engine_that_is_gone_does_not_count_among_those_a_request_may_use",
     ),
     Mutant(
         "repeats draw on the budget",
-        f"{NODE}/requests/router.py",
+        f"{NODE}/gateway/requests/router.py",
         "return self._parts.budget.try_repeat(admitted.service.name)",
         "return True",
         f"{REQUESTS}::test_second_tries_stay_within_the_budget",
     ),
     Mutant(
         "the grace of lapsed entries ends with the time to drain",
-        f"{LIBRARY}/routing/engine_board.py",
+        f"{LIBRARY}/routing/endpoint_registry.py",
         "min(LAPSE_GRACE_S, drain_s - DRAIN_MARGIN_S)",
         "LAPSE_GRACE_S",
         f"{BOARD}::test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over",
     ),
     Mutant(
         "a single engine that vanished has left",
-        f"{LIBRARY}/routing/engine_board.py",
+        f"{LIBRARY}/routing/endpoint_registry.py",
         "return {name for name in before if missing[name] * 2 > before[name]}",
         "return set(before)",
         f"{BOARD}::test_one_engine_that_vanished_over_an_outage_gets_nothing",
@@ -66,57 +66,57 @@
     ),
     Mutant(
         "only the confirmation of the version in force counts",
-        f"{NODE}/config/configuration_follower.py",
+        f"{NODE}/gateway/config/configuration_follower.py",
         "if version == self.version:",
         "if True:",
         f"{FOLLOWER}::test_the_confirmation_of_another_version_does_not_count",
     ),
     Mutant(
         "a node that nobody confirms reads the store",
-        f"{NODE}/config/configuration_follower.py",
+        f"{NODE}/gateway/config/configuration_follower.py",
         "return self.age_s() > CONFIRMED_S + turn_s or self._readers.include_me(FEED_READERS)",
         "return self._readers.include_me(FEED_READERS)",
         f"{FOLLOWER}::test_a_node_whose_version_nobody_confirms_reads_the_store",
     ),
     Mutant(
         "nodes that stand in for the readers of the store take turns",
-        f"{NODE}/config/configuration_follower.py",
+        f"{NODE}/gateway/config/configuration_follower.py",
         "turn_s = self._readers.turn_s(FEED_READERS)",
         "turn_s = 0.0",
         f"{FOLLOWER}::test_an_unconfirmed_node_leaves_the_store_to_those_whose_turn_comes_first",
     ),
     Mutant(
         "a node that failed to read the list waits for a round of all",
-        f"{NODE}/config/engine_follower.py",
+        f"{NODE}/gateway/config/endpoint_follower.py",
         "return is_old and self._clock() >= self._next_turn_s",
         "return is_old",
-        f"{NODE}/config/engine_follower_test.py"
+        f"{NODE}/gateway/config/endpoint_follower_test.py"
         "::test_a_node_that_failed_to_read_lets_all_others_try_before_it_tries_again",
     ),
     Mutant(
         "attempts that nobody confirms are dropped",
-        f"{NODE}/peers/assignments.py",
+        f"{NODE}/gateway/peers/remote_selection.py",
         "            if since_s > oldest_s:\n                return",
         "            return",
         f"{ASSIGNMENTS}::test_an_attempt_is_counted_once_and_only_while_it_is_confirmed",
     ),
     Mutant(
         "a request is counted once",
-        f"{LIBRARY}/routing/engine_state.py",
+        f"{LIBRARY}/routing/endpoint_state.py",
         "        if notice.attempt_id in self.loads:\n            return\n",
         "",
         f"{ASSIGNMENTS}::test_an_attempt_is_counted_once_and_only_while_it_is_confirmed",
     ),
     Mutant(
         "a silent scheduler is left out",
-        f"{NODE}/peers/assignments.py",
+        f"{NODE}/gateway/peers/remote_selection.py",
         "            self._schedulers.avoid(address)\n",
         "",
         f"{ASSIGNMENTS}::test_a_silent_scheduler_is_left_out_and_the_next_one_asked",
     ),
     Mutant(
         "the asker's own belief of an engine counts",
-        f"{NODE}/peers/assignments.py",
+        f"{NODE}/gateway/peers/remote_selection.py",
         "usable = self._board.candidates(demand.service, tried)",
         "usable = list(self._board._states.values()) or [None]",
         f"{ASSIGNMENTS}::test_an_engine_that_the_asker_may_not_use_is_not_taken",
@@ -153,9 +153,9 @@
     ),
     Mutant(
         "a long backlog weighs as much as reading",
-        f"{LIBRARY}/routing/engine_choice.py",
+        f"{LIBRARY}/routing/endpoint_choice.py",
         "cost = state.prefill_tokens + (UNREAD_WEIGHT - 1) * beyond",
         "cost = state.prefill_tokens",
-        f"{LIBRARY}/routing/engine_choice_test.py::test_long_prompts_use_the_quiet_engine_when_the_others_are_far_behind",
+        f"{LIBRARY}/routing/endpoint_choice_test.py::test_long_prompts_use_the_quiet_engine_when_the_others_are_far_behind",
     ),
 )
--- a/packages/springbridge-standins/springbridge_standins/world.py
+++ b/packages/springbridge-standins/springbridge_standins/world.py
@@ -11,9 +11,9 @@
 
 import orjson
 from returns.result import Success
-from springbridge import sheet
-from springbridge.changes import Edit
-from springbridge.rows import Cells
+from springbridge.classes.table import sheet
+from springbridge.classes.table.changes import Edit
+from springbridge.classes.table.rows import Cells
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
 from springbridge_standins.caller import Caller, control, until
--- /dev/null
+++ b/packages/springbridge/springbridge/classes/__init__.py
@@ -0,0 +1,1 @@
+"""Routing by class and table: the decisions of ``springbridge serve``."""
--- a/packages/springbridge/springbridge/binding.py
+++ b/packages/springbridge/springbridge/classes/binding.py
@@ -13,10 +13,10 @@
 
 from returns.result import Failure, Result, Success
 
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.request_ids import RequestId
 from springbridge.codes import Code
-from springbridge.invariants import Invariants
 from springbridge.problems import Problem
-from springbridge.request_ids import RequestId
 
 KEEP_S = 600.0
 ISSUED_SLACK_S = 60.0
--- a/packages/springbridge/springbridge/binding_test.py
+++ b/packages/springbridge/springbridge/classes/binding_test.py
@@ -9,11 +9,11 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is, IsInstance
 
-from springbridge.binding import KEEP_S, Bindings, Stage
+from springbridge.classes.binding import KEEP_S, Bindings, Stage
+from springbridge.classes.request_ids import parse, prefix
+from springbridge.classes.stream import Chunk, StreamCheck
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.request_ids import parse, prefix
-from springbridge.stream import Chunk, StreamCheck
 
 WALL_S = 1_800_000_000.0
 REFUSED = Problem(Code.OVERLOADED)
--- a/packages/springbridge/springbridge/decisions.py
+++ b/packages/springbridge/springbridge/classes/decisions.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from springbridge.records import Tier
+from springbridge.classes.entities import Tier
 
 
 @dataclass(frozen=True)
--- a/packages/springbridge/springbridge/limits.py
+++ b/packages/springbridge/springbridge/classes/limits.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from math import ceil
 
-from springbridge.records import Share
+from springbridge.classes.entities import Share
 
 LEASE_S = 1.0
 BURST_S = 1.0
--- a/packages/springbridge/springbridge/limits_test.py
+++ b/packages/springbridge/springbridge/classes/limits_test.py
@@ -6,8 +6,8 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from springbridge.limits import BURST_S, LEASE_S, OWNER_GRACE_S, LimitOwner, NodeLimit
-from springbridge.records import Share
+from springbridge.classes.entities import Share
+from springbridge.classes.limits import BURST_S, LEASE_S, OWNER_GRACE_S, LimitOwner, NodeLimit
 
 RATE = 40.0
 PLACES = 12
--- a/packages/springbridge/springbridge/placement.py
+++ b/packages/springbridge/springbridge/classes/placement.py
@@ -4,9 +4,9 @@
 
 from returns.result import Failure, Result, Success
 
+from springbridge.classes.entities import Customer, Engine, RequestClass, Table
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.records import Customer, Engine, RequestClass, Table
 
 
 def allowed_places(
--- a/packages/springbridge/springbridge/ports.py
+++ b/packages/springbridge/springbridge/classes/ports.py
@@ -7,12 +7,12 @@
 
 from returns.result import Result
 
-from springbridge.changes import Change, Snapshot
+from springbridge.classes.decisions import Outcome, Sample
+from springbridge.classes.entities import Engine, Request
+from springbridge.classes.stream import Chunk
+from springbridge.classes.table.changes import Change, Snapshot
 from springbridge.codes import Code
-from springbridge.decisions import Outcome, Sample
 from springbridge.problems import Problem
-from springbridge.records import Engine, Request
-from springbridge.stream import Chunk
 
 
 @dataclass(frozen=True)
--- a/packages/springbridge/springbridge/baselines.py
+++ b/packages/springbridge/springbridge/classes/slots/baselines.py
@@ -6,11 +6,11 @@
 
 from returns.result import Failure, Result, Success
 
+from springbridge.classes.decisions import Outcome, Sample
+from springbridge.classes.entities import Engine
+from springbridge.classes.ports import Attempt, Slot
 from springbridge.codes import Code
-from springbridge.decisions import Outcome, Sample
-from springbridge.ports import Attempt, Slot
 from springbridge.problems import Problem
-from springbridge.records import Engine
 
 SLOTS_PER_ENGINE = 6
 
--- a/packages/springbridge/springbridge/concurrency.py
+++ b/packages/springbridge/springbridge/classes/slots/concurrency.py
@@ -13,7 +13,7 @@
 
 from dataclasses import dataclass, field
 
-from springbridge.records import Tier
+from springbridge.classes.entities import Tier
 
 FIRST_LIMIT = 8.0
 SMALLEST_LIMIT = 0.5
--- a/packages/springbridge/springbridge/fair_queue.py
+++ b/packages/springbridge/springbridge/classes/slots/fair_queue.py
@@ -8,8 +8,8 @@
 import heapq
 from dataclasses import dataclass, field
 
-from springbridge.decisions import Ask
-from springbridge.records import Tier
+from springbridge.classes.decisions import Ask
+from springbridge.classes.entities import Tier
 
 MIN_SHARE_GRANTS = 20
 LATE_TARGET_SHARE = 0.5
--- a/packages/springbridge/springbridge/fair_queue_test.py
+++ b/packages/springbridge/springbridge/classes/slots/fair_queue_test.py
@@ -7,9 +7,9 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
 
+from springbridge.classes.entities import Tier
+from springbridge.classes.slots.fair_queue import MIN_SHARE_GRANTS, FairQueue
 from springbridge.conftest import PLAIN_ASK
-from springbridge.fair_queue import MIN_SHARE_GRANTS, FairQueue
-from springbridge.records import Tier
 
 PROPERTY = settings(derandomize=True, max_examples=60, deadline=None)
 
--- a/packages/springbridge/springbridge/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import replace
 
-from springbridge.decisions import (
+from springbridge.classes.decisions import (
     Ask,
     Decision,
     Grant,
@@ -27,10 +27,10 @@
     Release,
     Sample,
 )
-from springbridge.fair_queue import FairQueue
-from springbridge.invariants import Invariants
-from springbridge.records import Tier
-from springbridge.slot_account import Running, SlotAccount
+from springbridge.classes.entities import Tier
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.slots.fair_queue import FairQueue
+from springbridge.classes.slots.slot_account import Running, SlotAccount
 
 INVARIANT_TOP_TIER = "top tier refused last"
 INVARIANT_LAST_SLOT = "last slot stays preemptible"
--- a/packages/springbridge/springbridge/scheduler_test.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler_test.py
@@ -6,8 +6,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, HasLength, LessThan
 
-from springbridge.concurrency import NEAR_BELOW
-from springbridge.decisions import (
+from springbridge.classes.decisions import (
     Grant,
     Inventory,
     Outcome,
@@ -17,10 +16,11 @@
     Release,
     Sample,
 )
-from springbridge.engine_health import FIRST_SUSPENSION_S
-from springbridge.minimum_share import PRESSURE_S
-from springbridge.records import Tier
-from springbridge.scheduler import INVENTORY_LAG_S, EngineScheduler
+from springbridge.classes.engine_health import FIRST_SUSPENSION_S
+from springbridge.classes.entities import Tier
+from springbridge.classes.slots.concurrency import NEAR_BELOW
+from springbridge.classes.slots.minimum_share import PRESSURE_S
+from springbridge.classes.slots.scheduler import INVENTORY_LAG_S, EngineScheduler
 
 SLOTS = 4
 
--- a/packages/springbridge/springbridge/slot_account.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_account.py
@@ -3,18 +3,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from springbridge.concurrency import LATE_LIMIT, EngineLimits
-from springbridge.decisions import (
+from springbridge.classes.decisions import (
     Ask,
     Outcome,
     Release,
     Sample,
 )
-from springbridge.engine_health import EngineHealth
-from springbridge.estimates import RunningMean, RunningQuantile
-from springbridge.fair_queue import FairQueue
-from springbridge.minimum_share import MinimumShare
-from springbridge.records import Tier
+from springbridge.classes.engine_health import EngineHealth
+from springbridge.classes.entities import Tier
+from springbridge.classes.slots.concurrency import LATE_LIMIT, EngineLimits
+from springbridge.classes.slots.estimates import RunningMean, RunningQuantile
+from springbridge.classes.slots.fair_queue import FairQueue
+from springbridge.classes.slots.minimum_share import MinimumShare
 
 FIRST_ANSWER_TOKENS = 64.0
 FIRST_SERVICE_S = 1.0
--- a/packages/springbridge/springbridge/slot_asks.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_asks.py
@@ -5,13 +5,13 @@
 
 from returns.result import Result
 
-from springbridge.decisions import (
+from springbridge.classes.decisions import (
     Ask,
 )
+from springbridge.classes.entities import Engine, Request, Tier
+from springbridge.classes.ports import Attempt, Slot
 from springbridge.hashing import ranking
-from springbridge.ports import Attempt, Slot
 from springbridge.problems import Problem
-from springbridge.records import Engine, Request, Tier
 
 URGENT_PREFERENCE = "urgent"
 URGENT_PREFERRED = 2
--- a/packages/springbridge/springbridge/slots.py
+++ b/packages/springbridge/springbridge/classes/slots/slots.py
@@ -14,8 +14,7 @@
 
 from returns.result import Failure, Result, Success
 
-from springbridge.codes import Code
-from springbridge.decisions import (
+from springbridge.classes.decisions import (
     Ask,
     Decision,
     Grant,
@@ -28,11 +27,10 @@
     Release,
     Sample,
 )
-from springbridge.invariants import Invariants
-from springbridge.ports import Attempt, Slot
-from springbridge.problems import Problem
-from springbridge.records import Engine, Tier
-from springbridge.slot_asks import (
+from springbridge.classes.entities import Engine, Tier
+from springbridge.classes.invariants import Invariants
+from springbridge.classes.ports import Attempt, Slot
+from springbridge.classes.slots.slot_asks import (
     AskTerms,
     Held,
     Pending,
@@ -40,6 +38,8 @@
     engine_named,
     preferred,
 )
+from springbridge.codes import Code
+from springbridge.problems import Problem
 
 INVARIANT_ASKED_EVERYWHERE = "top tier asked everywhere before refusal"
 
--- a/packages/springbridge/springbridge/changes.py
+++ b/packages/springbridge/springbridge/classes/table/changes.py
@@ -11,9 +11,9 @@
 import orjson
 from returns.result import Failure, Result, Success
 
+from springbridge.classes.table.rows import Cells, check_key_owners, check_references, parse
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.rows import Cells, check_key_owners, check_references, parse
 
 
 @dataclass(frozen=True)
--- a/packages/springbridge/springbridge/rows.py
+++ b/packages/springbridge/springbridge/classes/table/rows.py
@@ -12,9 +12,7 @@
 
 from returns.result import Failure, Result, Success
 
-from springbridge.codes import Code
-from springbridge.problems import Problem
-from springbridge.records import (
+from springbridge.classes.entities import (
     Customer,
     Engine,
     EngineKind,
@@ -23,6 +21,8 @@
     Table,
     Tier,
 )
+from springbridge.codes import Code
+from springbridge.problems import Problem
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z")
 DIGEST = re.compile(r"[0-9a-f]{64}\Z")
--- a/packages/springbridge/springbridge/sheet.py
+++ b/packages/springbridge/springbridge/classes/table/sheet.py
@@ -6,9 +6,15 @@
 
 from returns.result import Failure, Result, Success
 
+from springbridge.classes.table.rows import (
+    COLUMNS,
+    Cells,
+    check_key_owners,
+    check_references,
+    parse,
+)
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.rows import COLUMNS, Cells, check_key_owners, check_references, parse
 
 KEY_COLUMN = "row"
 HEADER = [KEY_COLUMN, *dict.fromkeys(column for names in COLUMNS.values() for column in names)]
--- a/packages/springbridge/springbridge/sheet_test.py
+++ b/packages/springbridge/springbridge/classes/table/sheet_test.py
@@ -8,8 +8,9 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, HasLength, Is
 
-from springbridge import sheet
-from springbridge.changes import (
+from springbridge.classes.placement import allowed_engines, allowed_places
+from springbridge.classes.table import sheet
+from springbridge.classes.table.changes import (
     Change,
     Edit,
     Snapshot,
@@ -19,11 +20,10 @@
     difference,
     encode_change,
 )
+from springbridge.classes.table.rows import build, updated
 from springbridge.codes import Code
-from springbridge.placement import allowed_engines, allowed_places
-from springbridge.rows import build, updated
 
-EXAMPLES = Path(__file__).parents[3] / "examples"
+EXAMPLES = Path(__file__).parents[5] / "examples"
 EXAMPLE_NAMES = ["findwell.csv", "archive.csv"]
 
 
--- a/packages/springbridge/springbridge/conftest.py
+++ b/packages/springbridge/springbridge/conftest.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from springbridge.decisions import Ask
-from springbridge.invariants import Invariants
-from springbridge.records import Tier
+from springbridge.classes.decisions import Ask
+from springbridge.classes.entities import Tier
+from springbridge.classes.invariants import Invariants
 
 
 @dataclass
--- a/packages/springbridge/springbridge/membership_test.py
+++ b/packages/springbridge/springbridge/membership_test.py
@@ -7,7 +7,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, HasLength, LessThan, Not
 
-from springbridge.freshness import STALE_S, Confirmation, may_serve
+from springbridge.classes.table.freshness import STALE_S, Confirmation, may_serve
 from springbridge.membership import (
     DIGEST_LIMIT,
     FORGET_S,
--- a/packages/springbridge/springbridge/routing/conftest.py
+++ b/packages/springbridge/springbridge/routing/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from springbridge.routing.engine_board import EngineBoard
+from springbridge.routing.endpoint_registry import EngineBoard
 from springbridge.routing.records import (
     Admitted,
     Arrival,
--- a/packages/springbridge/springbridge/routing/schedulers_test.py
+++ b/packages/springbridge/springbridge/routing/coordinators_test.py
@@ -4,7 +4,7 @@
 from testtools.matchers import Equals, HasLength
 
 from springbridge.membership import Member
-from springbridge.routing.schedulers import SCHEDULERS_IN_A_PLACE, in_order_for, schedulers
+from springbridge.routing.coordinators import SCHEDULERS_IN_A_PLACE, in_order_for, schedulers
 
 PLACES = ("a", "b", "c")
 MODEL = "model"
--- a/packages/springbridge/springbridge/routing/engine_choice.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 
 from springbridge.hashing import score
-from springbridge.routing.engine_state import EngineState
+from springbridge.routing.endpoint_state import EngineState
 from springbridge.routing.prefix_cache import chain_of
 from springbridge.routing.records import Demand, PromptPart
 
--- a/packages/springbridge/springbridge/routing/engine_choice_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice_test.py
@@ -5,14 +5,14 @@
 from testtools.matchers import Equals, Is, Not
 
 from springbridge.routing.conftest import MODEL, make_demand
-from springbridge.routing.engine_choice import (
+from springbridge.routing.endpoint_choice import (
     LEAST_FETCH_TOKENS,
     _quiet_engines,
     by_shared_prompt,
     by_token_cost,
     least_in_flight,
 )
-from springbridge.routing.load import LoadNotice, LoadPhase
+from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.prefix_cache import PrefixCache
 from springbridge.routing.records import PromptPart
 
--- a/packages/springbridge/springbridge/routing/engine_board.py
+++ b/packages/springbridge/springbridge/routing/endpoint_registry.py
@@ -11,8 +11,8 @@
 
 import xxhash
 
-from springbridge.routing.engine_state import EngineState
-from springbridge.routing.load import LoadNotice, LoadPhase
+from springbridge.routing.endpoint_state import EngineState
+from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.records import EngineEntry, EngineListing
 
 FAILURES_TO_EJECT = 3
--- a/packages/springbridge/springbridge/routing/engine_board_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_registry_test.py
@@ -4,7 +4,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
-from springbridge.routing.engine_board import (
+from springbridge.routing.endpoint_registry import (
     EJECT_S,
     FAILURES_TO_EJECT,
     LAPSE_GRACE_S,
--- a/packages/springbridge/springbridge/routing/engine_state.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state.py
@@ -8,7 +8,7 @@
 from collections.abc import Set
 from dataclasses import dataclass, field
 
-from springbridge.routing.load import Load, LoadNotice, teller_of
+from springbridge.routing.load_notices import Load, LoadNotice, teller_of
 from springbridge.routing.prefix_cache import PrefixCache
 from springbridge.routing.reading_speed import ReadingSpeed
 from springbridge.routing.records import EngineEntry
--- a/packages/springbridge/springbridge/routing/engine_state_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state_test.py
@@ -4,8 +4,8 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge.routing.engine_state import LONGEST_LOAD_S, LONGEST_READ_S, EngineState
-from springbridge.routing.load import LoadNotice, LoadPhase, attempt_name
+from springbridge.routing.endpoint_state import LONGEST_LOAD_S, LONGEST_READ_S, EngineState
+from springbridge.routing.load_notices import LoadNotice, LoadPhase, attempt_name
 from springbridge.routing.reading_speed import LEAST_SAMPLE_TOKENS, USUAL_TOKENS_PER_S
 from springbridge.routing.records import EngineEntry
 
--- a/packages/springbridge/springbridge/routing/overload.py
+++ b/packages/springbridge/springbridge/routing/overload.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from springbridge.routing.engine_state import EngineState
+from springbridge.routing.endpoint_state import EngineState
 from springbridge.routing.records import Demand
 
 # Share of an engine's slots that may be taken when a request of a priority is still sent there.
--- a/packages/springbridge/springbridge/routing/overload_test.py
+++ b/packages/springbridge/springbridge/routing/overload_test.py
@@ -7,7 +7,7 @@
 from testtools.matchers import Equals, HasLength
 
 from springbridge.routing.conftest import MODEL, make_demand
-from springbridge.routing.load import LoadNotice, LoadPhase
+from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.overload import RETRY_AFTER_S, overload
 
 SLOTS = 64
--- a/packages/springbridge/springbridge/routing/selection.py
+++ b/packages/springbridge/springbridge/routing/selection.py
@@ -3,9 +3,9 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from springbridge.routing.engine_board import EngineBoard
-from springbridge.routing.engine_choice import Choice, Chooser
-from springbridge.routing.load import LoadNotice, LoadPhase
+from springbridge.routing.endpoint_choice import Choice, Chooser
+from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.overload import Overload, overload
 from springbridge.routing.records import Demand
 
--- a/packages/springbridge/springbridge/routing/selection_test.py
+++ b/packages/springbridge/springbridge/routing/selection_test.py
@@ -4,8 +4,8 @@
 from testtools.matchers import Equals
 
 from springbridge.routing.conftest import MODEL, make_demand
-from springbridge.routing.engine_choice import least_in_flight
-from springbridge.routing.load import LoadNotice, LoadPhase
+from springbridge.routing.endpoint_choice import least_in_flight
+from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.selection import Selection, select
 
 PROMPT = (("shared", 300), ("own", 900))
--- a/packages/springbridge/springbridge/routing/shared_budget_test.py
+++ b/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
@@ -3,7 +3,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, LessThan
 
-from springbridge.routing.shared_budget import BudgetTerms, SharedRetryBudget
+from springbridge.routing.shared_retry_budget import BudgetTerms, SharedRetryBudget
 
 TERMS = BudgetTerms(ratio=0.2, slack=50.0, window_s=10.0)
 
