--- a/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
@@ -6,7 +6,7 @@
 import orjson
 from returns.result import Failure, Success
 from springbridge.classes import request_ids
-from springbridge.classes.placement import allowed_places
+from springbridge.classes.placement import allowed_failure_domains
 from springbridge.classes.stream import Chunk
 from springbridge.codes import Code, Fate
 from springbridge.problems import Problem
@@ -43,22 +43,26 @@
         name = self.get_query_argument("class", self.request.headers.get(CLASS_HEADER, ""))
         found = identify(table, self.request.headers).bind(
             lambda customer: find_class(table, customer, name).bind(
-                lambda pair: allowed_places(pair[0], customer)
+                lambda pair: allowed_failure_domains(pair[0], customer)
             )
         )
         match found:
             case Failure(problem):
                 self.refuse(problem)
-            case Success(places):
-                self.finish(self._addresses(places))
-
-    def _addresses(self, places: frozenset[str]) -> dict[str, object]:
-        members = [member for member in self.node.membership.live() if member.place in places]
+            case Success(failure_domains):
+                self.finish(self._addresses(failure_domains))
+
+    def _addresses(self, failure_domains: frozenset[str]) -> dict[str, object]:
+        members = [
+            member
+            for member in self.node.membership.live()
+            if member.failure_domain in failure_domains
+        ]
         return {
             "addresses": [
                 {
                     "address": member.caller_address,
-                    "place": member.place,
+                    "place": member.failure_domain,
                     "incarnation": member.incarnation,
                     "id_prefix": request_ids.prefix(member.incarnation, time.time()),
                 }
--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -62,10 +62,10 @@
 
     def _wrong_place(self, admitted: Admitted) -> Problem | None:
         """Return a problem where this node stands in a place that may not handle the data."""
-        place = self.node.settings.place
-        if place in admitted.places:
+        failure_domain = self.node.settings.failure_domain
+        if failure_domain in admitted.failure_domains:
             return None
-        return Problem(Code.WRONG_PLACE, source=place)
+        return Problem(Code.WRONG_PLACE, source=failure_domain)
 
     def promised(self, problem: Problem) -> Problem:
         """Return what may be told of a request that is refused without being run here."""
@@ -176,8 +176,8 @@
             customer = table.customers.get(admitted.customer.name)
             if request_class is None or customer is None:
                 return ()
-            places = request_class.places & customer.places
-            return allowed_engines(table, request_class, places)
+            failure_domains = request_class.failure_domains & customer.failure_domains
+            return allowed_engines(table, request_class, failure_domains)
 
         return engines
 
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -147,7 +147,7 @@
             instance=self.settings.instance,
             peer_address=self.settings.peer_address,
             caller_address=self.settings.caller_address,
-            place=self.settings.place,
+            failure_domain=self.settings.failure_domain,
         )
 
     # Messages.
--- a/packages/springbridge-node/springbridge_node/class_router/main.py
+++ b/packages/springbridge-node/springbridge_node/class_router/main.py
@@ -41,7 +41,9 @@
 @app.command()
 def serve(
     instance: Annotated[str, option("instance", "Name of this instance.")],
-    place: Annotated[str, option("place", "Failure domain in which this instance stands.")],
+    failure_domain: Annotated[
+        str, option("place", "Failure domain in which this instance stands.")
+    ],
     caller_address: Annotated[
         str, option("caller-address", "IP number:port for callers and operators.")
     ],
--- a/packages/springbridge-node/springbridge_node/class_router/main_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/main_test.py
@@ -15,7 +15,7 @@
 
 GOOD = Settings(
     instance="node-1",
-    place="perth-a",
+    failure_domain="perth-a",
     caller_address="127.0.0.1:8000",
     peer_address="127.0.0.1:8001",
     table_address="127.0.0.1:8002",
@@ -32,7 +32,7 @@
 
 BAD = {
     "instance": "node 1",
-    "place": "",
+    "failure_domain": "",
     "caller_address": "localhost:8000",
     "peer_address": "127.0.0.1:99999",
     "table_address": "127.0.0.1",
@@ -46,6 +46,13 @@
     "keep_addresses_s": -1.0,
 }
 
+# Settings whose flag has an older name than their field.
+OLDER_FLAGS = {"failure_domain": "--place"}
+
+
+def flag_of(name):
+    return OLDER_FLAGS.get(name, "--" + name.replace("_", "-"))
+
 
 def test_good_settings_pass():
     assert_that(check(GOOD), Equals([]))
@@ -55,11 +62,11 @@
 def test_bad_setting_is_named(name, value):
     problems = check(Settings(**{**GOOD.__dict__, name: value}))
     assert_that(problems, HasLength(1))
-    assert_that(problems[0].source, Equals("--" + name.replace("_", "-")))
+    assert_that(problems[0].source, Equals(flag_of(name)))
 
 
 def test_all_bad_settings_are_reported_at_once():
-    flags = [f"--{name.replace('_', '-')}={value}" for name, value in BAD.items()]
+    flags = [f"{flag_of(name)}={value}" for name, value in BAD.items()]
     result = CliRunner().invoke(app, ["serve", *flags])
     assert_that(result.exit_code, Equals(2))
     assert_that(result.output.count("601 SETTING_INVALID"), Equals(len(BAD)))
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -1,7 +1,7 @@
 """Operators' interface of a node: the table, its history, orders and the node's state."""
 
 import hmac
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 
 import orjson
 from returns.result import Failure, Success
@@ -9,6 +9,7 @@
 from springbridge.classes.ports import OrderKind, TableStore
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
+from springbridge.membership import Member
 from springbridge.problems import Problem
 from tornado.web import RequestHandler
 
@@ -139,7 +140,7 @@
         closed = node.closed()
         self.reply(
             {
-                "me": asdict(node.membership.me),
+                "me": _member_row(node.membership.me),
                 "serving": closed is None,
                 "closed_code": None if closed is None else int(closed.code),
                 "version": node.config.table.version,
@@ -166,6 +167,26 @@
         )
 
 
+def _member_row(member: Member) -> dict[str, object]:
+    """Return a member as the status shows it; some names are older than the record's."""
+    return {
+        "incarnation": member.incarnation,
+        "instance": member.instance,
+        "peer_address": member.peer_address,
+        "caller_address": member.caller_address,
+        "place": member.failure_domain,
+        "heartbeat": member.heartbeat,
+        "phase": member.phase,
+        "config_version": member.config_version,
+        "confirmed_ago_s": member.confirmed_ago_s,
+        "table_out": member.table_out,
+        "listing": {
+            "mark": member.endpoint_snapshot.fingerprint,
+            "age_s": member.endpoint_snapshot.age_s,
+        },
+    }
+
+
 def read_edit(body: bytes) -> EditRequest | Problem:
     """Return the edit in a body, or BODY_MALFORMED."""
     try:
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
@@ -1,4 +1,7 @@
-"""Between the records and their protobuf messages, which have the same field names."""
+"""Between the records and their protobuf messages.
+
+A message has the fields of its record. Two kinds of names on the wire are older than the records'.
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import fields, is_dataclass
@@ -8,6 +11,10 @@
 from springbridge_node.class_router.peers.messages import Message
 from springbridge_node.class_router.peers.proto import peer_pb2
 
+# Names in peer.proto of record types and fields that are called otherwise in the code.
+WIRE_TYPES = {"SnapshotStatus": "ListingSeen"}
+WIRE_FIELDS = {"failure_domain": "place", "endpoint_snapshot": "listing", "fingerprint": "mark"}
+
 
 def _snake(name: str) -> str:
     """Return the name of the oneof field for a message type."""
@@ -36,8 +43,11 @@
 
 def _to_pb(record: Any) -> Any:
     """Return the protobuf message of a record."""
-    pb_type = getattr(peer_pb2, type(record).__name__)
-    return pb_type(**{name: _plain(getattr(record, name)) for name in _names(type(record))})
+    name = type(record).__name__
+    pb_type = getattr(peer_pb2, WIRE_TYPES.get(name, name))
+    return pb_type(
+        **{_wire_field(name): _plain(getattr(record, name)) for name in _names(type(record))}
+    )
 
 
 def _plain(value: Any) -> Any:
@@ -51,7 +61,14 @@
 
 def _from_pb(kind: type, message: Any) -> Any:
     """Return the record of a protobuf message."""
-    return kind(**{name: read(getattr(message, name)) for name, read in _readers(kind)})
+    return kind(
+        **{name: read(getattr(message, _wire_field(name))) for name, read in _readers(kind)}
+    )
+
+
+def _wire_field(name: str) -> str:
+    """Return the name on the wire of a record's field."""
+    return WIRE_FIELDS.get(name, name)
 
 
 @cache
--- a/packages/springbridge-node/springbridge_node/class_router/requests/class_admission.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/class_admission.py
@@ -6,7 +6,7 @@
 
 from returns.result import Failure, Result, Success
 from springbridge.classes.entities import Customer, RequestClass, Share, Table
-from springbridge.classes.placement import allowed_places
+from springbridge.classes.placement import allowed_failure_domains
 from springbridge.classes.request_ids import RequestId, parse
 from springbridge.codes import Code
 from springbridge.problems import Problem
@@ -31,7 +31,7 @@
     customer: Customer
     request_class: RequestClass
     share: Share
-    places: frozenset[str]
+    failure_domains: frozenset[str]
     request_id: RequestId | None
     max_wait_s: float
     repeatable: bool
@@ -82,12 +82,12 @@
             return Failure(problem)
         case Success((request_class, share)):
             pass
-    match allowed_places(request_class, customer):
+    match allowed_failure_domains(request_class, customer):
         case Failure(problem):
             return Failure(problem)
-        case Success(places):
+        case Success(failure_domains):
             pass
-    return _read_options(headers, customer, request_class, share, places)
+    return _read_options(headers, customer, request_class, share, failure_domains)
 
 
 def _read_options(
@@ -95,7 +95,7 @@
     customer: Customer,
     request_class: RequestClass,
     share: Share,
-    places: frozenset[str],
+    failure_domains: frozenset[str],
 ) -> Result[Admitted, Problem]:
     """Read the headers that a caller may leave out."""
     request_id = None
@@ -115,6 +115,13 @@
     max_wait_s = min(int(wait_text), request_class.max_wait_ms) / 1000
     affinity = headers.get(AFFINITY_HEADER, "")
     admitted = Admitted(
-        customer, request_class, share, places, request_id, max_wait_s, repeatable, affinity
+        customer,
+        request_class,
+        share,
+        failure_domains,
+        request_id,
+        max_wait_s,
+        repeatable,
+        affinity,
     )
     return Success(admitted)
--- a/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
+++ b/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
@@ -17,7 +17,7 @@
     """Settings of a node; docs/SETTINGS.md explains each."""
 
     instance: str
-    place: str
+    failure_domain: str
     caller_address: str
     peer_address: str
     table_address: str
@@ -40,8 +40,9 @@
         if not holds:
             problems.append(Problem(Code.SETTING_INVALID, f"takes {wanted}", f"--{name}"))
 
-    for name in ("instance", "place"):
-        need(bool(NAME.match(getattr(settings, name))), name, "letters, digits, dot, dash")
+    names = {"instance": settings.instance, "place": settings.failure_domain}
+    for name, value in names.items():
+        need(bool(NAME.match(value)), name, "letters, digits, dot, dash")
     for name in ("caller_address", "peer_address", "table_address", "list_address"):
         need(_is_address(getattr(settings, name)), name.replace("_", "-"), "IP number:port")
     if settings.statsd_address:
--- a/packages/springbridge-node/springbridge_node/gateway/callers/directory.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/directory.py
@@ -23,16 +23,19 @@
         self._membership = membership
         self.ttl_s = ttl_s
 
-    def addresses_for(self, place: str, host: str) -> list[str]:
+    def addresses_for(self, failure_domain: str, host: str) -> list[str]:
         """Return the addresses of nodes that run and are not leaving, those of a place first.
 
         Args:
           host: What the caller wants to reach.
         """
-        key = f"{host} from {place}"
+        key = f"{host} from {failure_domain}"
         members = sorted(
             self._membership.live(),
-            key=lambda member: (member.place != place, score(key, member.incarnation)),
+            key=lambda member: (
+                member.failure_domain != failure_domain,
+                score(key, member.incarnation),
+            ),
         )
         addresses = dict.fromkeys(member.caller_address for member in members)
         return list(addresses)[:MOST_ADDRESSES]
--- a/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
@@ -1,6 +1,6 @@
 """The listener for callers: reads requests whole, and gives each a task of its own.
 
-The task ends early when the caller closes its connection, so that no engine works on for nobody.
+The task ends early when the caller closes its connection, so that no endpoint works on for nobody.
 """
 
 import asyncio
--- a/packages/springbridge-node/springbridge_node/gateway/config/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a node believes of the configuration and of the engines, and how it keeps that fresh."""
+"""What a node believes of the configuration and of the endpoints, and how it keeps that fresh."""
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -6,21 +6,21 @@
 import pytest
 from returns.result import Failure, Success
 from springbridge.codes import Code
-from springbridge.membership import ListingSeen, Member, Membership
+from springbridge.membership import Member, Membership, SnapshotStatus
 from springbridge.problems import Problem
-from springbridge.routing.endpoint_registry import EngineBoard
-from springbridge.routing.records import EngineEntry, EngineListing
+from springbridge.routing.endpoint_registry import EndpointRegistry
+from springbridge.routing.records import EndpointEntry, EndpointSnapshot
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
 from springbridge_node.gateway.config.conftest import Clock
 from springbridge_node.gateway.config.endpoint_follower import (
     CONFIRMED_S,
-    AgedListing,
-    EngineFollower,
+    AgedSnapshot,
+    EndpointFollower,
 )
 
-LISTING = EngineListing(7, (EngineEntry("e1", "model", "127.0.0.1:1", "a", 4, False),))
+LISTING = EndpointSnapshot(7, (EndpointEntry("e1", "model", "127.0.0.1:1", "a", 4, False),))
 TURN_S = 0.5
 ROUND_S = 4.0
 
@@ -32,7 +32,7 @@
         self.up = True
         self.reads = 0
 
-    async def read_engines(self):
+    async def read_endpoints(self):
         """Return the list."""
         self.reads += 1
         if not self.up:
@@ -69,12 +69,12 @@
     def __init__(self, reads_for_all):
         self.clock = Clock()
         self.store = Store()
-        self.board = EngineBoard(self.clock)
+        self.registry = EndpointRegistry(self.clock)
         self.membership = Membership(Member("me", "me", "", "", "a"), self.clock, random.Random(1))
-        self.peer_list = AgedListing(LISTING, 0.0)
-        self.follower = EngineFollower(
+        self.peer_list = AgedSnapshot(LISTING, 0.0)
+        self.follower = EndpointFollower(
             self.store,
-            self.board,
+            self.registry,
             self.membership,
             Readers(reads_for_all),
             dict,
@@ -88,10 +88,12 @@
     async def _fetch(self, address):
         return self.peer_list
 
-    def heard(self, age_s, mark=None):
+    def heard(self, age_s, fingerprint=None):
         """Hear from a peer that has the same list, or one with another mark."""
-        seen = ListingSeen(self.board.mark if mark is None else mark, age_s)
-        peer = Member("peer", "peer", "p", "", "a", heartbeat=1, listing=seen)
+        seen = SnapshotStatus(
+            self.registry.fingerprint if fingerprint is None else fingerprint, age_s
+        )
+        peer = Member("peer", "peer", "p", "", "a", heartbeat=1, endpoint_snapshot=seen)
         self.membership.merge([peer])
 
     def steps(self, count=1):
@@ -164,7 +166,7 @@
 
 def test_a_node_that_no_peer_gives_the_newer_list_reads_at_once(other):
     other.clock.now_s += 0.3
-    other.heard(0.1, mark=1)
+    other.heard(0.1, fingerprint=1)
     other.peer_list = None
     assert_that(other.steps(), Equals(1))
 
@@ -173,4 +175,4 @@
     other.store.up = False
     other.clock.now_s += 10.0
     other.steps()
-    assert_that(other.board.age_s(), Equals(0.0))
+    assert_that(other.registry.age_s(), Equals(0.0))
--- a/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
@@ -5,7 +5,7 @@
 
 from returns.result import Result
 from springbridge.problems import Problem
-from springbridge.routing.records import Configuration, EngineListing
+from springbridge.routing.records import Configuration, EndpointSnapshot
 
 # How long a call to the store may take, and how much longer than its wait one that waits.
 CALL_TIMEOUT_S = 1.2
@@ -48,8 +48,8 @@
           VERSION_CONFLICT where the store no longer knows what followed the cursor.
         """
 
-    async def read_engines(self) -> Result[EngineListing, Problem]:
-        """Return the engines that are listed."""
+    async def read_endpoints(self) -> Result[EndpointSnapshot, Problem]:
+        """Return the endpoints that are listed."""
 
     async def read_nodes(self) -> Result[list[str], Problem]:
         """Return the peer addresses of nodes that announced themselves."""
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
@@ -1,35 +1,37 @@
-"""Tries engines to which no connection came up, so that no request has to wait for the attempt."""
+"""Tries unreachable endpoints again, so that no request has to wait for the attempt."""
 
 import asyncio
 
-from springbridge.routing.endpoint_registry import EngineBoard
-from springbridge.routing.endpoint_state import EngineState
+from springbridge.routing.endpoint_registry import EndpointRegistry
+from springbridge.routing.endpoint_state import EndpointState
 
 from springbridge_node import logs
-from springbridge_node.gateway.endpoints.pool import EnginePool
+from springbridge_node.gateway.endpoints.pool import ConnectionPool
 from springbridge_node.gateway.http.http_connection import ConnectFailedError
 
 INTERVAL_S = 0.25
 
 
-class EngineProber:
-    """Connects to unreachable engines until they answer; the connection is kept for a request."""
+class EndpointProber:
+    """Connects to unreachable endpoints until they answer; the connection is kept for a request."""
 
-    def __init__(self, board: EngineBoard, pool: EnginePool) -> None:
-        """Keep the board and the pool."""
-        self._board = board
+    def __init__(self, registry: EndpointRegistry, pool: ConnectionPool) -> None:
+        """Keep the registry and the pool."""
+        self._registry = registry
         self._pool = pool
 
     async def step(self) -> None:
-        """Try every unreachable engine once."""
-        await asyncio.gather(*(self._try(state) for state in self._board.unreachable_engines()))
+        """Try every unreachable endpoint once."""
+        await asyncio.gather(
+            *(self._try(state) for state in self._registry.unreachable_endpoints())
+        )
         await asyncio.sleep(INTERVAL_S)
 
-    async def _try(self, state: EngineState) -> None:
-        """Try one engine."""
+    async def _try(self, state: EndpointState) -> None:
+        """Try one endpoint."""
         try:
             await self._pool.warm(state.entry)
         except ConnectFailedError:
             return
-        self._board.reached(state)
-        logs.event("engine.reached", engine=state.entry.engine_id)
+        self._registry.reached(state)
+        logs.event("engine.reached", engine=state.entry.endpoint_id)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -12,7 +12,7 @@
 from springbridge.problems import Problem
 from springbridge.routing.admission import RouteIndex
 from springbridge.routing.endpoint_choice import Chooser
-from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import CallerLimits
 from springbridge.routing.shared_retry_budget import SharedRetryBudget
 
@@ -21,11 +21,11 @@
 from springbridge_node.gateway.callers.directory import AddressBook
 from springbridge_node.gateway.callers.ingress import CallerListener, IncomingRequest
 from springbridge_node.gateway.config.configuration_follower import STORE, ConfigurationFollower
-from springbridge_node.gateway.config.endpoint_follower import EngineFollower
+from springbridge_node.gateway.config.endpoint_follower import EndpointFollower
 from springbridge_node.gateway.config.platform_store import ConfigurationReader, PlatformStore
 from springbridge_node.gateway.config.store_readers import StoreReaders
-from springbridge_node.gateway.endpoints.pool import EnginePool
-from springbridge_node.gateway.endpoints.prober import EngineProber
+from springbridge_node.gateway.endpoints.pool import ConnectionPool
+from springbridge_node.gateway.endpoints.prober import EndpointProber
 from springbridge_node.gateway.gateway_settings import GatewaySettings
 from springbridge_node.gateway.http.small_server import TEXT, Handler, Reply, SmallServer
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
@@ -33,21 +33,21 @@
     ALONE_READ_S,
     BEAT_S,
     FIND_PEERS_AFTER_S,
-    Presence,
+    Heartbeats,
 )
-from springbridge_node.gateway.peers.peer_snapshots import PeerKnowledge, peer_handlers
-from springbridge_node.gateway.requests.request_codec import WireFormat
-from springbridge_node.gateway.requests.request_log import RequestJournal
+from springbridge_node.gateway.peers.peer_snapshots import PeerClient, peer_handlers
+from springbridge_node.gateway.requests.request_codec import RequestCodec
+from springbridge_node.gateway.requests.request_log import RequestLog
 from springbridge_node.gateway.requests.router import RequestRouter, RouterParts
-from springbridge_node.gateway.requests.selection_parts import Scheduling
+from springbridge_node.gateway.requests.selection_parts import SelectionParts
 from springbridge_node.gateway.telemetry import Telemetry
 from springbridge_node.periodic import every
 
 PACE = Pace(peers=3, suspect_s=1.2)
 SWEEP_S = 2.0
 ADDRESS_TTL_S = 1.0
-LISTING_INTERVAL_S = 0.5
-LISTING_SHARE_OF_DRAIN = 0.25
+SNAPSHOT_INTERVAL_S = 0.5
+SNAPSHOT_SHARE_OF_DRAIN = 0.25
 METRICS_PATH = "/metrics"
 LEAVING = Problem(Code.NODE_LEAVING, "planned stop", retry_after_s=0.05)
 
@@ -63,7 +63,7 @@
 
     store: PlatformStore
     read_configuration: ConfigurationReader
-    wire_format: WireFormat
+    codec: RequestCodec
     ready_handlers: Callable[[Callable[[], bool]], Mapping[str, Handler]]
     directory_handlers: Callable[[AddressBook], Mapping[str, Handler]]
 
@@ -79,9 +79,9 @@
         self._outside = outside
         self.telemetry = Telemetry()
         self.membership = Membership(_member(settings), time.monotonic, random.Random(), PACE)
-        self.board = EngineBoard(time.monotonic, settings.drain_s)
-        self.scheduling = Scheduling(self.board, self.membership, choose)
-        self.pool = EnginePool(self._live_nodes)
+        self.registry = EndpointRegistry(time.monotonic, settings.drain_s)
+        self.selection_parts = SelectionParts(self.registry, self.membership, choose)
+        self.pool = ConnectionPool(self._live_nodes)
         self.readers = StoreReaders(self.membership, settings.asks_seeds_first)
         self.configuration = ConfigurationFollower(
             outside.store,
@@ -89,40 +89,40 @@
             self._configuration_installed,
             self.readers,
         )
-        self.knowledge = PeerKnowledge(self.membership, lambda: list(self.settings.other_seeds))
-        self.engines = EngineFollower(
+        self.peer_client = PeerClient(self.membership, lambda: list(self.settings.other_seeds))
+        self.endpoints = EndpointFollower(
             outside.store,
-            self.board,
+            self.registry,
             self.membership,
             self.readers,
             self._capacities,
-            self.knowledge.engines,
+            self.peer_client.endpoints,
             self._push,
             self.configuration.refresh,
-            min(LISTING_INTERVAL_S, settings.drain_s * LISTING_SHARE_OF_DRAIN),
+            min(SNAPSHOT_INTERVAL_S, settings.drain_s * SNAPSHOT_SHARE_OF_DRAIN),
         )
         self.budget = SharedRetryBudget(settings.budget, self._live_nodes, time.monotonic)
         self.router = RequestRouter(
             RouterParts(
                 lambda: self.configuration.index,
                 self.configuration.due_s,
-                self.board,
+                self.registry,
                 self.pool,
                 self.budget,
-                outside.wire_format,
-                self.scheduling.selector,
-                RequestJournal(self.telemetry),
-                self.scheduling.loads,
-                settings.place,
+                outside.codec,
+                self.selection_parts.selector,
+                RequestLog(self.telemetry),
+                self.selection_parts.loads,
+                settings.failure_domain,
             )
         )
         self.listener = CallerListener(self._serve)
         self.datagrams: PeerDatagrams | None = None
-        self.presence = Presence(
+        self.heartbeats = Heartbeats(
             self.membership,
             self.configuration,
-            self.engines,
-            self.knowledge,
+            self.endpoints,
+            self.peer_client,
             outside.store,
             self.readers,
             self.is_ready,
@@ -139,24 +139,24 @@
             addresses.directory,
             self._outside.directory_handlers(AddressBook(self.membership, ttl_s)),
         )
-        self._serve_small(addresses.peers, peer_handlers(lambda: self.configuration, self.board))
+        self._serve_small(addresses.peers, peer_handlers(lambda: self.configuration, self.registry))
         self._serve_small(addresses.metrics, {METRICS_PATH: self._metrics})
         self.listener.listen(addresses.callers, _limits(self.configuration.index))
         self.datagrams = datagrams = await PeerDatagrams.open(
             self.membership, self.settings.ip, self.settings.gossip_port
         )
-        self.presence.connect(datagrams)
-        self.scheduling.connect(datagrams)
+        self.heartbeats.connect(datagrams)
+        self.selection_parts.connect(datagrams)
         self.membership.set_listed(self.settings.seeds)
         self._tasks = [
             asyncio.ensure_future(task)
             for task in (
                 self.configuration.run(),
-                every(0.0, self.engines.step),
-                every(0.0, EngineProber(self.board, self.pool).step),
-                every(BEAT_S, self.presence.beat),
+                every(0.0, self.endpoints.step),
+                every(0.0, EndpointProber(self.registry, self.pool).step),
+                every(BEAT_S, self.heartbeats.beat),
                 every(ALONE_READ_S, self._find_peers, FIND_PEERS_AFTER_S),
-                every(0.0, self.presence.follow_peers),
+                every(0.0, self.heartbeats.follow_peers),
                 every(SWEEP_S, self._sweep),
             )
         ]
@@ -166,13 +166,13 @@
         return (
             self.membership.is_live()
             and self.configuration.index is not None
-            and self.board.revision >= 0
+            and self.registry.revision >= 0
         )
 
     def leave(self) -> None:
         """Begin a planned stop: tell all peers, and let connections end with their answers."""
         self.membership.leave()
-        self.presence.push_phase()
+        self.heartbeats.push_phase()
         self.listener.close_after_answers()
 
     def refuse_new(self) -> None:
@@ -183,7 +183,7 @@
     async def end(self) -> None:
         """Stop all tasks."""
         self.membership.end()
-        self.presence.push_phase()
+        self.heartbeats.push_phase()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -212,9 +212,9 @@
     def _metrics(self, query: dict[str, str]) -> Reply:
         """Return the metrics as text."""
         self.telemetry.nodes.set(self._live_nodes())
-        self.telemetry.engines.set(len(self.board.entries()))
+        self.telemetry.endpoints.set(len(self.registry.entries()))
         self.telemetry.config_version.set(self.configuration.version)
-        self.telemetry.store_up.set(int(self.engines.dependency.up))
+        self.telemetry.store_up.set(int(self.endpoints.dependency.up))
         self.telemetry.dropped_lines.set(logs.dropped())
         return Reply(200, self.telemetry.text(), TEXT)
 
@@ -222,7 +222,7 @@
         return max(1, len(self.membership.live()))
 
     def _capacities(self) -> dict[str, int]:
-        """Return the tokens that an engine of each service keeps."""
+        """Return the tokens that an endpoint of each service keeps."""
         index = self.configuration.index
         if index is None:
             return {}
@@ -237,19 +237,19 @@
 
     def _push(self) -> None:
         """Tell all peers at once what this node knows."""
-        self.presence.push()
+        self.heartbeats.push()
 
     async def _find_peers(self) -> None:
         """Look for peers while there are none."""
-        await self.presence.find_peers(self.settings.addresses.peers, lambda: self.settings.seeds)
+        await self.heartbeats.find_peers(self.settings.addresses.peers, lambda: self.settings.seeds)
 
     async def _sweep(self) -> None:
-        """Drop what belongs to engines and members that are gone."""
-        self.pool.keep_only(self.board.known_ids())
-        self.board.expire_loads()
+        """Drop what belongs to endpoints and members that are gone."""
+        self.pool.keep_only(self.registry.known_ids())
+        self.registry.expire_loads()
         heard = {member.incarnation for member in self.membership.reachable()}
-        self.board.keep_loads_of(heard | {self.membership.me.incarnation})
-        self.presence.forget_gone()
+        self.registry.keep_loads_of(heard | {self.membership.me.incarnation})
+        self.heartbeats.forget_gone()
 
 
 def _member(settings: GatewaySettings) -> Member:
@@ -259,7 +259,7 @@
         instance=settings.name,
         peer_address=settings.addresses.peers,
         caller_address=settings.addresses.callers,
-        place=settings.place,
+        failure_domain=settings.failure_domain,
     )
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
@@ -32,15 +32,15 @@
       gossip_port: Port of the digests, alike on all nodes.
       seeds: Peer addresses to begin with, this node's own perhaps among them; they may be stale.
       first_start: Whether the whole system starts for the first time, so that nobody waits for it.
-      budget: What all nodes together may send to second engines.
+      budget: What all nodes together may send to second endpoints.
       grace_s: Time between a planned stop and its end.
       longest_ttl_s: Longest time for which callers keep an answer of the directory.
-      drain_s: Time within which no request may reach an engine that leaves.
+      drain_s: Time within which no request may reach an endpoint that leaves.
     """
 
     name: str
     ip: str
-    place: str
+    failure_domain: str
     addresses: Addresses
     gossip_port: int
     seeds: tuple[str, ...]
--- a/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
@@ -177,13 +177,13 @@
             kind = type(exc.real_error).__name__ if exc.real_error else "end of stream"
             raise AnswerBrokenError(kind) from exc
 
-    async def _read_until(self, mark: bytes, limit: int) -> bytes:
+    async def _read_until(self, fingerprint: bytes, limit: int) -> bytes:
         """Return the bytes up to a mark, without it."""
         while True:
-            end = self._unread.find(mark)
+            end = self._unread.find(fingerprint)
             if end >= 0:
                 raw = bytes(self._unread[:end])
-                del self._unread[: end + len(mark)]
+                del self._unread[: end + len(fingerprint)]
                 return raw
             if len(self._unread) > limit:
                 raise AnswerBrokenError("no end of line")
--- a/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from springbridge.membership import Member, Membership
-from springbridge.routing.coordinators import in_order_for, schedulers
+from springbridge.routing.coordinators import coordinators, in_order_for
 
 from springbridge_node import logs
 
@@ -13,8 +13,8 @@
 AVOIDED_S = 0.5
 
 
-class SchedulerSet:
-    """The schedulers of the fleet as this node sees them.
+class CoordinatorSet:
+    """The coordinators of the fleet as this node sees them.
 
     Up to MOST_EQUALS nodes tell each other of every request, and all of them schedule.
     """
@@ -30,38 +30,38 @@
 
     def includes_me(self, service: str) -> bool:
         """Return whether this node hears of all requests for a service, and so chooses itself."""
-        found = self._schedulers(service)
+        found = self._coordinators(service)
         return self._few or any(self._is_me(member) for member in found)
 
     def audience(self, service: str) -> list[str]:
         """Return the peer addresses to tell of this node's requests for a service."""
-        found = self._schedulers(service)
+        found = self._coordinators(service)
         if self._few:
             found = self._membership.reachable()
         return [member.peer_address for member in found if not self._is_me(member)]
 
     def first(self, service: str) -> str | None:
-        """Return the peer address of the scheduler to ask next, or None if none answers."""
-        found = self._schedulers(service)
+        """Return the peer address of the coordinator to ask next, or None if none answers."""
+        found = self._coordinators(service)
         now_s = self._clock()
-        for member in in_order_for(self._membership.me.place, found):
+        for member in in_order_for(self._membership.me.failure_domain, found):
             avoided_until_s = self._avoided_until_s.get(member.peer_address, now_s)
             if not self._is_me(member) and avoided_until_s <= now_s:
                 return member.peer_address
         return None
 
     def avoid(self, address: str) -> None:
-        """Leave out a scheduler that did not answer, for a moment."""
+        """Leave out a coordinator that did not answer, for a moment."""
         self._avoided_until_s[address] = self._clock() + AVOIDED_S
         logs.event("scheduler.silent", address=address, avoided_s=AVOIDED_S)
 
-    def _schedulers(self, service: str) -> list[Member]:
+    def _coordinators(self, service: str) -> list[Member]:
         """Return who schedules a service, nobody in particular in a small fleet."""
         self._refresh()
         if self._few:
             return []
         if service not in self._found:
-            self._found[service] = schedulers(self._membership.live(), service)
+            self._found[service] = coordinators(self._membership.live(), service)
         return self._found[service]
 
     def _refresh(self) -> None:
--- a/packages/springbridge-node/springbridge_node/gateway/peers/gossip.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/gossip.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from springbridge.membership import ListingSeen, Member, Membership, Phase
+from springbridge.membership import Member, Membership, Phase, SnapshotStatus
 
 from springbridge_node import logs
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
@@ -60,10 +60,10 @@
 
     def _member(self, row: list) -> Member | None:
         """Return a member from what travelled, or None if only its changes came and it is new."""
-        incarnation, heartbeat, phase, version, confirmed_ago_s, mark, age_s, *fixed = row
+        incarnation, heartbeat, phase, version, confirmed_ago_s, fingerprint, age_s, *fixed = row
         if fixed:
-            instance, peer, caller, place = fixed
-            known = Member(incarnation, instance, peer, caller, place)
+            instance, peer, caller, failure_domain = fixed
+            known = Member(incarnation, instance, peer, caller, failure_domain)
         else:
             known = self._membership.find(incarnation)
         if known is None:
@@ -74,7 +74,7 @@
             phase=Phase(phase),
             config_version=version,
             confirmed_ago_s=confirmed_ago_s,
-            listing=ListingSeen(mark, age_s),
+            endpoint_snapshot=SnapshotStatus(fingerprint, age_s),
         )
 
     def _is_new(self, member: Member) -> bool:
@@ -107,12 +107,12 @@
         int(member.phase),
         member.config_version,
         round(member.confirmed_ago_s, 2),
-        member.listing.mark,
-        round(member.listing.age_s, 2),
+        member.endpoint_snapshot.fingerprint,
+        round(member.endpoint_snapshot.age_s, 2),
     ]
 
 
 def _whole_row(member: Member) -> list:
     """Return a member as it travels to nodes that may not know it."""
-    fixed = [member.instance, member.peer_address, member.caller_address, member.place]
+    fixed = [member.instance, member.peer_address, member.caller_address, member.failure_domain]
     return _short_row(member) + fixed
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
@@ -11,12 +11,12 @@
     FEED_READERS,
     ConfigurationFollower,
 )
-from springbridge_node.gateway.config.endpoint_follower import EngineFollower
+from springbridge_node.gateway.config.endpoint_follower import EndpointFollower
 from springbridge_node.gateway.config.platform_store import PlatformStore
 from springbridge_node.gateway.config.store_readers import StoreReaders
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 from springbridge_node.gateway.peers.gossip import Gossip
-from springbridge_node.gateway.peers.peer_snapshots import PeerKnowledge
+from springbridge_node.gateway.peers.peer_snapshots import PeerClient
 
 BEAT_S = 0.25
 STALL_S = 0.6
@@ -27,15 +27,15 @@
 OLDEST_TOLD_S = 1e6
 
 
-class Presence:
+class Heartbeats:
     """Tells peers of this node, and takes in what their digests say of the configuration."""
 
     def __init__(
         self,
         membership: Membership,
         configuration: ConfigurationFollower,
-        engines: EngineFollower,
-        knowledge: PeerKnowledge,
+        endpoints: EndpointFollower,
+        peer_client: PeerClient,
         store: PlatformStore,
         readers: StoreReaders,
         is_ready: Callable[[], bool],
@@ -47,8 +47,8 @@
         """
         self._membership = membership
         self._configuration = configuration
-        self._engines = engines
-        self._knowledge = knowledge
+        self._endpoints = endpoints
+        self._peer_client = peer_client
         self._store = store
         self._readers = readers
         self._is_ready = is_ready
@@ -88,7 +88,7 @@
         await self._peers_ahead.wait()
         self._peers_ahead.clear()
         newest = max(self._newest_version(), FIRST_VERSION)
-        await self._configuration.catch_up(newest, self._knowledge.configuration_after)
+        await self._configuration.catch_up(newest, self._peer_client.configuration_after)
         if self._newest_version() > self._configuration.version:
             await asyncio.sleep(BEHIND_PAUSE_S)
 
@@ -122,8 +122,8 @@
         self._membership.beat(
             self._configuration.version,
             min(OLDEST_TOLD_S, self._configuration.age_s()),
-            not self._engines.dependency.up,
-            self._engines.seen(),
+            not self._endpoints.dependency.up,
+            self._endpoints.seen(),
         )
 
     def _digest_heard(self) -> None:
--- a/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
@@ -1,8 +1,8 @@
-"""Tells peers of this node's requests at engines, and takes in what they tell.
+"""Tells peers of this node's requests at endpoints, and takes in what they tell.
 
 Notices are gathered for a few milliseconds, so that a burst of requests makes few datagrams. In a
-fleet with too many nodes to tell them all, the schedulers are told: half a view of an engine's load
-misleads.
+fleet with too many nodes to tell them all, the coordinators are told: half a view of an endpoint's
+load misleads.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 
 from springbridge.routing.endpoint_choice import Choice
-from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.load_notices import LoadNotice, LoadPhase, attempt_name
 from springbridge.routing.records import Demand
 from springbridge.routing.selection import start_notice
@@ -23,29 +23,29 @@
 
 
 class SharedLoad:
-    """One attempt at an engine, from its start to its end."""
+    """One attempt at an endpoint, from its start to its end."""
 
-    def __init__(self, sharing: "LoadSharing", attempt_id: str, engine_id: str) -> None:
+    def __init__(self, sharing: "LoadSharing", attempt_id: str, endpoint_id: str) -> None:
         """Keep the names."""
         self._sharing = sharing
         self._attempt_id = attempt_id
-        self._engine_id = engine_id
+        self._endpoint_id = endpoint_id
         self._was_read = False
 
     def read(self) -> None:
-        """Note that the engine has read the prompt: the first piece of the answer came."""
+        """Note that the endpoint has read the prompt: the first piece of the answer came."""
         if not self._was_read:
             self._was_read = True
-            notice = LoadNotice(LoadPhase.READ, self._attempt_id, self._engine_id)
+            notice = LoadNotice(LoadPhase.READ, self._attempt_id, self._endpoint_id)
             self._sharing.tell(notice)
 
 
 class LoadSharing:
-    """This node's part in what all nodes know of the engines' load."""
+    """This node's part in what all nodes know of the endpoints' load."""
 
     def __init__(
         self,
-        board: EngineBoard,
+        registry: EndpointRegistry,
         incarnation: str,
         audience: Callable[[str], list[str]],
         heard: Callable[[LoadNotice], None],
@@ -57,7 +57,7 @@
           audience: Returns the peer addresses to tell of requests for a service.
           heard: Called with each notice of a peer.
         """
-        self._board = board
+        self._registry = registry
         self._incarnation = incarnation
         self._audience = audience
         self._heard = heard
@@ -77,27 +77,27 @@
 
     @contextlib.contextmanager
     def attempt(self, choice: Choice, demand: Demand) -> Iterator[SharedLoad]:
-        """Count a request at an engine for as long as the block runs."""
-        engine_id = choice.state.entry.engine_id
+        """Count a request at an endpoint for as long as the block runs."""
+        endpoint_id = choice.state.entry.endpoint_id
         attempt_id = choice.attempt_id or self.new_attempt_id()
         self.tell(start_notice(choice, demand, attempt_id))
         try:
-            yield SharedLoad(self, attempt_id, engine_id)
+            yield SharedLoad(self, attempt_id, endpoint_id)
         finally:
-            self.tell(LoadNotice(LoadPhase.ENDED, attempt_id, engine_id))
+            self.tell(LoadNotice(LoadPhase.ENDED, attempt_id, endpoint_id))
 
-    def unreached(self, engine_id: str) -> None:
-        """Note that no connection to an engine came up, so that others need not wait for it too."""
-        self.tell(LoadNotice(LoadPhase.UNREACHED, "", engine_id))
+    def unreached(self, endpoint_id: str) -> None:
+        """Note that no connection to an endpoint came up, so that no peer waits for it."""
+        self.tell(LoadNotice(LoadPhase.UNREACHED, "", endpoint_id))
 
-    def gone(self, engine_id: str) -> None:
-        """Note that another engine has the address of this one."""
-        self.tell(LoadNotice(LoadPhase.GONE, "", engine_id))
+    def gone(self, endpoint_id: str) -> None:
+        """Note that another endpoint has the address of this one."""
+        self.tell(LoadNotice(LoadPhase.GONE, "", endpoint_id))
 
     def tell(self, notice: LoadNotice) -> None:
         """Take in a notice here and tell the peers soon."""
-        self._board.take_notice(notice)
-        state = self._board.find(notice.engine_id)
+        self._registry.take_notice(notice)
+        state = self._registry.find(notice.endpoint_id)
         if self._datagrams is None or state is None:
             return
         if not self._untold:
@@ -118,12 +118,12 @@
         for row in rows:
             notice = _notice(row)
             self._heard(notice)
-            self._board.take_notice(notice)
+            self._registry.take_notice(notice)
 
 
 def _row(notice: LoadNotice) -> list:
     """Return a notice as it travels."""
-    row = [int(notice.phase), notice.attempt_id, notice.engine_id]
+    row = [int(notice.phase), notice.attempt_id, notice.endpoint_id]
     if notice.phase is LoadPhase.STARTED:
         parts = prompt_rows.to_rows(notice.prompt_parts)
         row += [notice.prompt_tokens, parts, notice.fetched_tokens]
@@ -132,9 +132,11 @@
 
 def _notice(row: list) -> LoadNotice:
     """Return a notice from what travelled."""
-    phase, attempt_id, engine_id, *started = row
+    phase, attempt_id, endpoint_id, *started = row
     if not started:
-        return LoadNotice(LoadPhase(phase), attempt_id, engine_id)
+        return LoadNotice(LoadPhase(phase), attempt_id, endpoint_id)
     prompt_tokens, parts, fetched = started
     prompt_parts = prompt_rows.from_rows(parts)
-    return LoadNotice(LoadPhase(phase), attempt_id, engine_id, prompt_tokens, prompt_parts, fetched)
+    return LoadNotice(
+        LoadPhase(phase), attempt_id, endpoint_id, prompt_tokens, prompt_parts, fetched
+    )
--- a/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing_test.py
@@ -6,18 +6,18 @@
 
 import pytest
 from springbridge.membership import Member, Membership
-from springbridge.routing.coordinators import schedulers
+from springbridge.routing.coordinators import coordinators
 from springbridge.routing.endpoint_choice import Choice
-from springbridge.routing.endpoint_registry import EngineBoard
-from springbridge.routing.records import Demand, EngineEntry, EngineListing
+from springbridge.routing.endpoint_registry import EndpointRegistry
+from springbridge.routing.records import Demand, EndpointEntry, EndpointSnapshot
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
-from springbridge_node.gateway.peers.coordinator_set import MOST_EQUALS, SchedulerSet
+from springbridge_node.gateway.peers.coordinator_set import MOST_EQUALS, CoordinatorSet
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 from springbridge_node.gateway.peers.load_sharing import GATHER_S, LoadSharing
 
-ENTRY = EngineEntry("e1", "model", "10.1.0.1:80", "perth-a", 4, False)
+ENTRY = EndpointEntry("e1", "model", "10.1.0.1:80", "perth-a", 4, False)
 DEMAND = Demand("q", "model", "perth-a", 2, 2.5)
 
 
@@ -41,14 +41,14 @@
     ]
     membership = Membership(me, time.monotonic, random.Random(1))
     membership.merge(others)
-    board = EngineBoard(time.monotonic)
-    board.install(EngineListing(1, (ENTRY,)), {}, 0.0)
-    state = board.find("e1")
+    registry = EndpointRegistry(time.monotonic)
+    registry.install(EndpointSnapshot(1, (ENTRY,)), {}, 0.0)
+    state = registry.find("e1")
 
     async def body():
         datagrams = RecordingDatagrams(membership)
-        found = SchedulerSet(membership)
-        sharing = LoadSharing(board, "n0", found.audience, lambda notice: None)
+        found = CoordinatorSet(membership)
+        sharing = LoadSharing(registry, "n0", found.audience, lambda notice: None)
         sharing.connect(datagrams)
         with sharing.attempt(Choice(state), DEMAND):
             during = state.in_flight
@@ -71,7 +71,7 @@
     sent, during, after, membership = play(peers)
     expected = {
         member.peer_address
-        for member in schedulers(membership.live(), "model")
+        for member in coordinators(membership.live(), "model")
         if member is not membership.me
     }
     ((_, audience),) = sent
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_snapshots.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_snapshots.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other on request: the configuration as written, and the engine list.
+"""What nodes tell each other on request: the configuration as written, and the endpoint list.
 
 Both are compressed, since many nodes ask at the same moment and some have narrow links.
 """
@@ -11,17 +11,17 @@
 
 import orjson
 from springbridge.membership import Membership
-from springbridge.routing.endpoint_registry import EngineBoard
-from springbridge.routing.records import EngineEntry, EngineListing
+from springbridge.routing.endpoint_registry import EndpointRegistry
+from springbridge.routing.records import EndpointEntry, EndpointSnapshot
 
 from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
-from springbridge_node.gateway.config.endpoint_follower import AgedListing
+from springbridge_node.gateway.config.endpoint_follower import AgedSnapshot
 from springbridge_node.gateway.config.platform_store import ConfigurationDocument
 from springbridge_node.gateway.http.calls import Caller, CallFailedError
 from springbridge_node.gateway.http.small_server import Handler, Reply
 
 CONFIGURATION_PATH = "/peer/configuration"
-ENGINES_PATH = "/peer/engines"
+ENDPOINTS_PATH = "/peer/engines"
 PEERS_ASKED = 2
 TIMEOUT_S = 0.8
 COMPRESSION_LEVEL = 1
@@ -29,7 +29,7 @@
 
 
 def peer_handlers(
-    configuration: Callable[[], ConfigurationFollower], board: EngineBoard
+    configuration: Callable[[], ConfigurationFollower], registry: EndpointRegistry
 ) -> dict[str, Handler]:
     """Return the handlers that answer peers."""
 
@@ -39,21 +39,21 @@
             return Reply(404)
         return _configuration_reply(document)
 
-    def tell_engines(query: dict[str, str]) -> Reply:
-        if board.revision < 0:
+    def tell_endpoints(query: dict[str, str]) -> Reply:
+        if registry.revision < 0:
             return Reply(404)
         return _reply(
             {
-                "revision": board.revision,
-                "age_s": board.age_s(),
-                "entries": [_engine_row(entry) for entry in board.entries()],
+                "revision": registry.revision,
+                "age_s": registry.age_s(),
+                "entries": [_endpoint_row(entry) for entry in registry.entries()],
             }
         )
 
-    return {CONFIGURATION_PATH: tell_configuration, ENGINES_PATH: tell_engines}
+    return {CONFIGURATION_PATH: tell_configuration, ENDPOINTS_PATH: tell_endpoints}
 
 
-class PeerKnowledge:
+class PeerClient:
     """Asks peers for what this node lacks."""
 
     def __init__(self, membership: Membership, seeds: Callable[[], list[str]]) -> None:
@@ -74,12 +74,12 @@
                 return ConfigurationDocument(told["version"], base64.b64decode(told["document"]))
         return None
 
-    async def engines(self, peer: str | None) -> AgedListing | None:
-        """Return the list of engines that a peer has, or the youngest that a few peers have."""
+    async def endpoints(self, peer: str | None) -> AgedSnapshot | None:
+        """Return the list of endpoints that a peer has, or the youngest that a few peers have."""
         peers = [member.peer_address for member in self._membership.reachable()] or self._seeds()
         asked = [peer] if peer else _some(peers)
-        told = [await _ask(address, ENGINES_PATH) for address in asked]
-        lists = [_aged_listing(each) for each in told if each is not None]
+        told = [await _ask(address, ENDPOINTS_PATH) for address in asked]
+        lists = [_aged_snapshot(each) for each in told if each is not None]
         return min(lists, key=lambda aged: aged.age_s, default=None)
 
 
@@ -88,10 +88,10 @@
     return random.sample(addresses, min(PEERS_ASKED, len(addresses)))
 
 
-def _aged_listing(told: dict) -> AgedListing:
-    """Return a list of engines as a peer tells it."""
-    entries = tuple(EngineEntry(*row) for row in told["entries"])
-    return AgedListing(EngineListing(told["revision"], entries), told["age_s"])
+def _aged_snapshot(told: dict) -> AgedSnapshot:
+    """Return a list of endpoints as a peer tells it."""
+    entries = tuple(EndpointEntry(*row) for row in told["entries"])
+    return AgedSnapshot(EndpointSnapshot(told["revision"], entries), told["age_s"])
 
 
 async def _ask(address: str, path: str) -> dict | None:
@@ -118,13 +118,13 @@
     return Reply(200, zlib.compress(orjson.dumps(told), COMPRESSION_LEVEL), COMPRESSED)
 
 
-def _engine_row(entry: EngineEntry) -> list:
-    """Return an engine as it travels, in the order of the record's fields."""
+def _endpoint_row(entry: EndpointEntry) -> list:
+    """Return an endpoint as it travels, in the order of the record's fields."""
     return [
-        entry.engine_id,
+        entry.endpoint_id,
         entry.service,
         entry.address,
-        entry.place,
+        entry.failure_domain,
         entry.slots,
         entry.draining,
     ]
--- a/packages/springbridge-node/springbridge_node/gateway/peers/remote_selection_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/remote_selection_test.py
@@ -5,20 +5,20 @@
 
 import pytest
 from springbridge.membership import Member, Membership
-from springbridge.routing.coordinators import in_order_for, schedulers
+from springbridge.routing.coordinators import coordinators, in_order_for
 from springbridge.routing.endpoint_choice import by_token_cost
-from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.load_notices import LoadNotice, LoadPhase
-from springbridge.routing.records import Demand, EngineEntry, EngineListing, PromptPart
+from springbridge.routing.records import Demand, EndpointEntry, EndpointSnapshot, PromptPart
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is, Not
 
-from springbridge_node.gateway.peers.coordinator_set import AVOIDED_S, SchedulerSet
+from springbridge_node.gateway.peers.coordinator_set import AVOIDED_S, CoordinatorSet
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 from springbridge_node.gateway.peers.remote_selection import (
     CONFIRMED_S,
-    AssignmentClient,
-    AssignmentServer,
+    SelectionClient,
+    SelectionServer,
 )
 
 PARTS = (PromptPart("shared", 13_000), PromptPart("own", 3_000))
@@ -71,15 +71,15 @@
                 self._wire.ends[address]._handlers[int(kind)](rows, self._address)
 
 
-def make_board(clock, engines=4):
+def make_board(clock, endpoints=4):
     """Return a board of model engines in failure domain a."""
-    board = EngineBoard(clock)
+    registry = EndpointRegistry(clock)
     entries = tuple(
-        EngineEntry(f"e{number}", "model", f"10.9.0.{number}:80", "a", 64, False)
-        for number in range(engines)
+        EndpointEntry(f"e{number}", "model", f"10.9.0.{number}:80", "a", 64, False)
+        for number in range(endpoints)
     )
-    board.install(EngineListing(1, entries), {"model": 500_000}, 0.0)
-    return board
+    registry.install(EndpointSnapshot(1, entries), {"model": 500_000}, 0.0)
+    return registry
 
 
 @pytest.fixture
@@ -95,8 +95,8 @@
         Member(f"n{number}", f"n{number}", f"10.0.0.{number}:1", "", PLACES[number % len(PLACES)])
         for number in range(NODES)
     ]
-    roles = schedulers(members, MODEL)
-    me = next(member for member in members if member.place == "a" and member not in roles)
+    roles = coordinators(members, MODEL)
+    me = next(member for member in members if member.failure_domain == "a" and member not in roles)
     membership = Membership(me, clock, random.Random(1))
     membership.merge(member for member in members if member is not me)
     return membership
@@ -104,12 +104,12 @@
 
 def ask(wire, fleet, clock, times=1):
     """Return what a node gets that asks so many times, with all schedulers answering."""
-    found = SchedulerSet(fleet, clock)
-    for member in schedulers(fleet.live(), MODEL):
-        AssignmentServer(make_board(clock), by_token_cost, clock).connect(
+    found = CoordinatorSet(fleet, clock)
+    for member in coordinators(fleet.live(), MODEL):
+        SelectionServer(make_board(clock), by_token_cost, clock).connect(
             wire.end(member.peer_address)
         )
-    client = AssignmentClient(make_board(clock), found)
+    client = SelectionClient(make_board(clock), found)
     client.connect(wire.end(fleet.me.peer_address))
 
     async def body():
@@ -120,7 +120,7 @@
 
 def first_schedulers(fleet):
     """Return the peer addresses of the schedulers in the order in which the node asks them."""
-    ordered = in_order_for(fleet.me.place, schedulers(fleet.live(), MODEL))
+    ordered = in_order_for(fleet.me.failure_domain, coordinators(fleet.live(), MODEL))
     return [member.peer_address for member in ordered]
 
 
@@ -128,7 +128,7 @@
     wire = Wire()
     (selection,) = ask(wire, fleet, clock)
     assert_that(selection.choice.attempt_id, Equals("me/0"))
-    assert_that(selection.choice.scheduler, Equals(first_schedulers(fleet)[0]))
+    assert_that(selection.choice.coordinator, Equals(first_schedulers(fleet)[0]))
 
 
 def test_a_silent_scheduler_is_left_out_and_the_next_one_asked(fleet, clock):
@@ -142,7 +142,7 @@
 
 
 def test_a_silent_scheduler_is_asked_again_after_a_moment(fleet, clock):
-    found = SchedulerSet(fleet, clock)
+    found = CoordinatorSet(fleet, clock)
     first = found.first(MODEL)
     found.avoid(first)
     assert_that(found.first(MODEL), Not(Equals(first)))
@@ -160,10 +160,10 @@
 
 def test_an_engine_that_the_asker_may_not_use_is_not_taken(fleet, clock):
     wire = Wire()
-    found = SchedulerSet(fleet, clock)
+    found = CoordinatorSet(fleet, clock)
     address = found.first(MODEL)
-    AssignmentServer(make_board(clock), by_token_cost, clock).connect(wire.end(address))
-    client = AssignmentClient(make_board(clock, engines=0), found)
+    SelectionServer(make_board(clock), by_token_cost, clock).connect(wire.end(address))
+    client = SelectionClient(make_board(clock, endpoints=0), found)
     client.connect(wire.end(fleet.me.peer_address))
     assert_that(asyncio.run(client.ask(DEMAND, (), "me/0")), Is(None))
 
@@ -171,60 +171,60 @@
 def test_a_scheduler_learns_of_an_engine_that_an_asker_found_gone(clock):
     # findwell-wa-grown, scale-1, seed 7: engines that had come back under other names were named
     # again and again, as each node had to find out for itself.
-    board = make_board(clock)
-    server = AssignmentServer(board, by_token_cost, clock)
-    gone = server.assign(DEMAND, (), "a").engine_id
-    board.take_notice(LoadNotice(LoadPhase.GONE, "", gone))
-    second = server.assign(DEMAND, (), "b").engine_id
-    board.take_notice(LoadNotice(LoadPhase.UNREACHED, "", second))
-    third = server.assign(DEMAND, (), "c").engine_id
+    registry = make_board(clock)
+    server = SelectionServer(registry, by_token_cost, clock)
+    gone = server.select(DEMAND, (), "a").endpoint_id
+    registry.take_notice(LoadNotice(LoadPhase.GONE, "", gone))
+    second = server.select(DEMAND, (), "b").endpoint_id
+    registry.take_notice(LoadNotice(LoadPhase.UNREACHED, "", second))
+    third = server.select(DEMAND, (), "c").endpoint_id
     assert_that(len({gone, second, third}), Equals(3))
-    board.reached(board.find(second))
+    registry.reached(registry.find(second))
     others = {"e0", "e1", "e2", "e3"} - {second}
-    assert_that(server.assign(DEMAND, (), "d", others).engine_id, Equals(second))
+    assert_that(server.select(DEMAND, (), "d", others).endpoint_id, Equals(second))
 
 
 def test_questions_at_the_same_moment_are_spread(clock):
-    server = AssignmentServer(make_board(clock), by_token_cost, clock)
+    server = SelectionServer(make_board(clock), by_token_cost, clock)
     short = [
         Demand(f"q{number}", "model", "a", 1, TARGET_S, 4_000, (), False) for number in range(4)
     ]
-    named = {server.assign(demand, (), demand.request_id).engine_id for demand in short}
+    named = {server.select(demand, (), demand.request_id).endpoint_id for demand in short}
     assert_that(len(named), Equals(4))
 
 
 def test_an_attempt_is_counted_once_and_only_while_it_is_confirmed(clock):
-    board = make_board(clock)
-    server = AssignmentServer(board, by_token_cost, clock)
-    kept = server.assign(DEMAND, (), "kept").engine_id
-    dropped = server.assign(DEMAND, (), "dropped").engine_id
+    registry = make_board(clock)
+    server = SelectionServer(registry, by_token_cost, clock)
+    kept = server.select(DEMAND, (), "kept").endpoint_id
+    dropped = server.select(DEMAND, (), "dropped").endpoint_id
     notice = LoadNotice(LoadPhase.STARTED, "kept", kept, 16_000, PARTS)
     server.heard(notice)
-    board.take_notice(notice)
-    assert_that(board.find(kept).loads["kept"].prefill_tokens, Equals(16_000))
+    registry.take_notice(notice)
+    assert_that(registry.find(kept).loads["kept"].prefill_tokens, Equals(16_000))
     clock.now_s += CONFIRMED_S + 0.1
-    server.assign(DEMAND, (), "later")
-    assert_that("dropped" in board.find(dropped).loads, Equals(False))
-    assert_that("kept" in board.find(kept).loads, Equals(True))
+    server.select(DEMAND, (), "later")
+    assert_that("dropped" in registry.find(dropped).loads, Equals(False))
+    assert_that("kept" in registry.find(kept).loads, Equals(True))
 
 
 def test_the_least_urgent_are_refused_by_the_scheduler_while_all_engines_are_too_full(clock):
-    board = make_board(clock)
+    registry = make_board(clock)
     for number in range(4 * 40):
-        board.take_notice(LoadNotice(LoadPhase.STARTED, f"x{number}", f"e{number % 4}"))
-    server = AssignmentServer(board, by_token_cost, clock)
-    told = server.assign(Demand("q", "model", "a", 2, TARGET_S, 16_000, PARTS, True), (), "x")
-    assert_that((told.engine_id, told.overload.in_flight), Equals(("", 40)))
+        registry.take_notice(LoadNotice(LoadPhase.STARTED, f"x{number}", f"e{number % 4}"))
+    server = SelectionServer(registry, by_token_cost, clock)
+    told = server.select(Demand("q", "model", "a", 2, TARGET_S, 16_000, PARTS, True), (), "x")
+    assert_that((told.endpoint_id, told.overload.in_flight), Equals(("", 40)))
 
 
 def test_a_refusal_by_a_scheduler_comes_with_what_decided_it(fleet, clock):
     wire = Wire()
-    board = make_board(clock)
+    registry = make_board(clock)
     for number in range(4 * 60):
-        board.take_notice(LoadNotice(LoadPhase.STARTED, f"x{number}", f"e{number % 4}"))
-    for member in schedulers(fleet.live(), MODEL):
-        AssignmentServer(board, by_token_cost, clock).connect(wire.end(member.peer_address))
-    client = AssignmentClient(make_board(clock), SchedulerSet(fleet, clock))
+        registry.take_notice(LoadNotice(LoadPhase.STARTED, f"x{number}", f"e{number % 4}"))
+    for member in coordinators(fleet.live(), MODEL):
+        SelectionServer(registry, by_token_cost, clock).connect(wire.end(member.peer_address))
+    client = SelectionClient(make_board(clock), CoordinatorSet(fleet, clock))
     client.connect(wire.end(fleet.me.peer_address))
     selection = asyncio.run(client.ask(DEMAND, (), "me/0"))
     assert_that(selection.choice, Is(None))
@@ -235,6 +235,6 @@
     me = Member("n0", "n0", "10.0.0.0:1", "", "a")
     membership = Membership(me, clock, random.Random(1))
     membership.merge([Member("n1", "n1", "10.0.0.1:1", "", "b")])
-    found = SchedulerSet(membership, clock)
+    found = CoordinatorSet(membership, clock)
     assert_that((found.includes_me(MODEL), found.first(MODEL)), Equals((True, None)))
     assert_that(found.audience(MODEL), Equals(["10.0.0.1:1"]))
--- a/packages/springbridge-node/springbridge_node/gateway/requests/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request: admission, choice of engine, attempts, relay of the answer."""
+"""The way of a request: admission, choice of endpoint, attempts, relay of the answer."""
--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt at one engine: send, match the answer to the request, and pass it on.
+"""One attempt at one endpoint: send, match the answer to the request, and pass it on.
 
 Nothing is passed on before it can no longer be taken back: an answer without events waits until it
-is whole (or too large to wait), a stream until its first whole event. Until then another engine may
-be asked where the request allows that.
+is whole (or too large to wait), a stream until its first whole event. Until then another endpoint
+may be asked where the request allows that.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from springbridge_node.gateway.http.http_connection import HttpConnection
 from springbridge_node.gateway.http.http_head import AnswerBrokenError, Head
 from springbridge_node.gateway.peers.load_sharing import SharedLoad
-from springbridge_node.gateway.requests.request_codec import WireFormat
+from springbridge_node.gateway.requests.request_codec import RequestCodec
 
 HELD_BYTES = 256 << 10
 STALE_ANSWERS = 3
@@ -31,38 +31,38 @@
 
     DELIVERED = "delivered"
     TURNED_AWAY = "turned away"
-    OTHER_ENGINE = "other engine"
-    ENGINE_ERROR = "engine error"
+    OTHER_ENDPOINT = "other engine"
+    ENDPOINT_ERROR = "engine error"
     BROKEN = "broken"
     SILENT = "silent"
 
 
 @dataclass(frozen=True, slots=True)
 class HeldFailure:
-    """An engine's own failure, kept in case no other engine does better."""
+    """An endpoint's own failure, kept in case no other endpoint does better."""
 
     head: Head
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class ChosenEngine:
-    """An engine that a request was sent to, and what was believed of it then.
+class ChosenEndpoint:
+    """An endpoint that a request was sent to, and what was believed of it then.
 
     Attributes:
       in_flight: Requests that it had.
       prefill_tokens: Prompt tokens that it had still to read.
       kept_tokens: Tokens of this prompt that it probably kept.
-      source: Engine that it was told to fetch more of the prompt from, "" for none.
-      scheduler: Address of the node that chose, "" for this one.
+      source: Endpoint that it was told to fetch more of the prompt from, "" for none.
+      coordinator: Address of the node that chose, "" for this one.
     """
 
-    engine: str
+    endpoint: str
     in_flight: int
     prefill_tokens: int
     kept_tokens: int
     source: str
-    scheduler: str
+    coordinator: str
 
 
 @dataclass
@@ -70,19 +70,19 @@
     """What became of a request so far.
 
     Attributes:
-      tried: Engines that no further attempt goes to.
-      chosen: The engines it was sent to, in order.
+      tried: Endpoints that no further attempt goes to.
+      chosen: The endpoints it was sent to, in order.
       sends: Times that it was sent.
-      misdirected: Those of them that met another engine than the one meant, which is gone.
+      misdirected: Those of them that met another endpoint than the one meant, which is gone.
       may_have_run: Whether one of them may have run it.
       last_event: Id of the last event that the caller got.
       first_piece_s: When the caller got the first piece of the answer, None before.
-      failure: The last failure that an engine answered with.
+      failure: The last failure that an endpoint answered with.
       load: The attempt in progress as the other nodes know it.
     """
 
     tried: set[str] = field(default_factory=set)
-    chosen: list[ChosenEngine] = field(default_factory=list)
+    chosen: list[ChosenEndpoint] = field(default_factory=list)
     sends: int = 0
     misdirected: int = 0
     may_have_run: bool = False
@@ -92,8 +92,8 @@
     load: SharedLoad | None = None
 
     @property
-    def engines_used(self) -> int:
-        """Return the engines that count among those a route allows: not those that are gone."""
+    def endpoints_used(self) -> int:
+        """Return the endpoints that count among those a route allows: not those that are gone."""
         return self.sends - self.misdirected
 
 
@@ -108,9 +108,7 @@
     progress: Progress
 
 
-async def read_own_head(
-    connection: HttpConnection, wire_format: WireFormat, request_id: str
-) -> Head:
+async def read_own_head(connection: HttpConnection, codec: RequestCodec, request_id: str) -> Head:
     """Return the head of the answer that belongs to a request, passing over stale answers.
 
     Raises:
@@ -118,7 +116,7 @@
     """
     for _ in range(STALE_ANSWERS):
         head = await connection.read_head()
-        answered = wire_format.verdict(head).request_id
+        answered = codec.verdict(head).request_id
         if answered in ("", request_id):
             return head
         if head.unframed:
@@ -134,12 +132,12 @@
 
 
 async def relay_plain(
-    exchange: Exchange, connection: HttpConnection, head: Head, wire_format: WireFormat
+    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
 ) -> None:
     """Pass on an answer without events: at once when it is whole, in pieces when it is large.
 
     Raises:
-      AnswerBrokenError: The engine's answer ended early.
+      AnswerBrokenError: The endpoint's answer ended early.
       CallerGoneError: The caller is gone.
     """
     answer = exchange.answer
@@ -150,19 +148,19 @@
             continue
         held += piece
         if len(held) > HELD_BYTES:
-            await _start(exchange, head, wire_format, bytes(held), head.length)
+            await _start(exchange, head, codec, bytes(held), head.length)
     if not answer.started:
-        await _start(exchange, head, wire_format, bytes(held), len(held))
+        await _start(exchange, head, codec, bytes(held), len(held))
     answer.finish()
 
 
 async def relay_events(
-    exchange: Exchange, connection: HttpConnection, head: Head, wire_format: WireFormat
+    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
 ) -> None:
     """Pass on a stream event by event, after the last event that the caller has.
 
     Raises:
-      AnswerBrokenError: The engine's stream broke; half an event was dropped.
+      AnswerBrokenError: The endpoint's stream broke; half an event was dropped.
       CallerGoneError: The caller is gone.
     """
     splitter = EventSplitter()
@@ -171,11 +169,11 @@
         fresh = [event for event in events if _is_fresh(exchange.progress, event.event_id)]
         if fresh:
             data = b"".join(event.raw for event in fresh)
-            await _pass_on(exchange, head, wire_format, data)
+            await _pass_on(exchange, head, codec, data)
             ids = [event.event_id for event in fresh if event.event_id is not None]
             exchange.progress.last_event = ids[-1] if ids else exchange.progress.last_event
     if splitter.rest or not exchange.answer.started:
-        await _pass_on(exchange, head, wire_format, splitter.rest)
+        await _pass_on(exchange, head, codec, splitter.rest)
     exchange.answer.finish()
 
 
@@ -188,19 +186,19 @@
     return True
 
 
-async def _pass_on(exchange: Exchange, head: Head, wire_format: WireFormat, data: bytes) -> None:
+async def _pass_on(exchange: Exchange, head: Head, codec: RequestCodec, data: bytes) -> None:
     """Send a piece of a stream, with the head before the first."""
     if exchange.answer.started:
         await exchange.answer.write(data)
     else:
-        await _start(exchange, head, wire_format, data, None)
+        await _start(exchange, head, codec, data, None)
 
 
 async def _start(
-    exchange: Exchange, head: Head, wire_format: WireFormat, piece: bytes, length: int | None
+    exchange: Exchange, head: Head, codec: RequestCodec, piece: bytes, length: int | None
 ) -> None:
     """Send the head of an answer and its first piece."""
-    headers = wire_format.caller_headers(head)
+    headers = codec.caller_headers(head)
     if length is not None:
         headers["Content-Length"] = str(length)
     exchange.progress.first_piece_s = time.monotonic()
@@ -209,17 +207,15 @@
     await exchange.answer.start(head.status, head.reason, headers, piece)
 
 
-async def send_held_failure(
-    exchange: Exchange, failure: HeldFailure, wire_format: WireFormat
-) -> None:
-    """Pass on an engine's own failure."""
+async def send_held_failure(exchange: Exchange, failure: HeldFailure, codec: RequestCodec) -> None:
+    """Pass on an endpoint's own failure."""
     body = failure.body
-    await _start(exchange, failure.head, wire_format, body, len(body))
+    await _start(exchange, failure.head, codec, body, len(body))
     exchange.answer.finish()
 
 
 class SilentError(Exception):
-    """An engine did not answer within the time that it had."""
+    """An endpoint did not answer within the time that it had."""
 
 
 async def within(seconds: float | None, reading: Awaitable[Head]) -> Head:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/outcomes.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""What an attempt's end means for its request: another engine, or which answer."""
+"""What an attempt's end means for its request: another endpoint, or which answer."""
 
 from springbridge.codes import Code
 from springbridge.problems import Problem
@@ -6,23 +6,23 @@
 from springbridge.routing.overload import Overload
 from springbridge.routing.records import Admitted
 
-from springbridge_node.gateway.requests.attempt import ChosenEngine, End, Exchange
+from springbridge_node.gateway.requests.attempt import ChosenEndpoint, End, Exchange
 
 LEAST_RETRY_AFTER_S = 0.05
 RETRY_AFTER_SHARE = 0.1
 RESTART_S = 4.0
 
 
-def chosen_engine(choice: Choice, admitted: Admitted) -> ChosenEngine:
-    """Return what is believed of an engine as a request is sent to it."""
+def chosen_endpoint(choice: Choice, admitted: Admitted) -> ChosenEndpoint:
+    """Return what is believed of an endpoint as a request is sent to it."""
     state = choice.state
-    return ChosenEngine(
-        engine=state.entry.engine_id,
+    return ChosenEndpoint(
+        endpoint=state.entry.endpoint_id,
         in_flight=state.in_flight,
         prefill_tokens=state.prefill_tokens,
         kept_tokens=state.cache.kept_tokens(admitted.arrival.prompt_parts),
-        source=choice.source.entry.engine_id if choice.source else "",
-        scheduler=choice.scheduler,
+        source=choice.source.entry.endpoint_id if choice.source else "",
+        coordinator=choice.coordinator,
     )
 
 
@@ -32,7 +32,7 @@
 
 
 def may_try_another(exchange: Exchange) -> bool:
-    """Return whether another engine may get the request after an attempt failed."""
+    """Return whether another endpoint may get the request after an attempt failed."""
     if exchange.answer.started and not _can_be_continued(exchange):
         return False
     return not exchange.progress.may_have_run or is_repeatable(exchange.admitted)
@@ -50,8 +50,8 @@
     return Problem(Code.ENGINE_FAILED, end.value)
 
 
-def no_engine_problem(exchange: Exchange) -> Problem:
-    """Return the problem of a request for which there is no further engine."""
+def no_endpoint_problem(exchange: Exchange) -> Problem:
+    """Return the problem of a request for which there is no further endpoint."""
     if exchange.progress.may_have_run:
         return Problem(Code.ENGINE_FAILED, "no further engine")
     if exchange.progress.sends:
@@ -60,10 +60,10 @@
 
 
 def not_run_problem(admitted: Admitted, detail: str, retry_after_s: float | None = None) -> Problem:
-    """Return the refusal of a request that no engine has run, with the time to come back.
+    """Return the refusal of a request that no endpoint has run, with the time to come back.
 
     Args:
-      retry_after_s: That time; left out, an engine is full for a moment.
+      retry_after_s: That time; left out, an endpoint is full for a moment.
     """
     if retry_after_s is None:
         retry_after_s = max(LEAST_RETRY_AFTER_S, admitted.route.target_s * RETRY_AFTER_SHARE)
@@ -71,7 +71,7 @@
 
 
 def overload_problem(overload: Overload) -> Problem:
-    """Return the refusal of a request whose engines have too much for its priority."""
+    """Return the refusal of a request whose endpoints have too much for its priority."""
     waits = f"backlog {overload.backlog_s:.2f} s, longest wait {overload.longest_wait_s:.2f} s"
     detail = f"engines: least {waits}, least in flight {overload.in_flight}"
     return Problem(Code.OVERLOADED, detail, retry_after_s=overload.retry_after_s)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -1,14 +1,14 @@
 """What is logged and counted of requests: one line for each decision, never any content."""
 
 import time
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 
 from springbridge.problems import Problem
-from springbridge.routing.endpoint_state import EngineState
+from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.records import Arrival
 
 from springbridge_node import logs
-from springbridge_node.gateway.requests.attempt import End, Exchange
+from springbridge_node.gateway.requests.attempt import ChosenEndpoint, End, Exchange
 from springbridge_node.gateway.telemetry import Telemetry
 
 
@@ -29,7 +29,7 @@
 CALLER_LEFT = Ending("caller left")
 
 
-class RequestJournal:
+class RequestLog:
     """Writes decisions on requests to the log and the metrics."""
 
     def __init__(self, telemetry: Telemetry) -> None:
@@ -48,36 +48,36 @@
             reason=problem.detail,
         )
 
-    def attempt_failed(self, exchange: Exchange, engine_id: str, end: End) -> None:
+    def attempt_failed(self, exchange: Exchange, endpoint_id: str, end: End) -> None:
         """Note an attempt that did not deliver."""
         self._telemetry.attempts.labels(end.value).inc()
         logs.event(
             "request.attempt_failed",
             request_id=exchange.admitted.arrival.request_id,
-            engine=engine_id,
+            engine=endpoint_id,
             end=end.value,
             sends=exchange.progress.sends,
             last_event=exchange.progress.last_event,
             after_ms=_age_ms(exchange),
         )
 
-    def engine_rests(self, state: EngineState, end: End) -> None:
-        """Note that an engine gets no request for a while, after failures in a row."""
+    def endpoint_ejected(self, state: EndpointState, end: End) -> None:
+        """Note that an endpoint gets no request for a while, after failures in a row."""
         logs.event(
             "engine.rests",
-            engine=state.entry.engine_id,
+            engine=state.entry.endpoint_id,
             last_end=end.value,
             failures=state.failures,
-            seconds=round(state.rests_until_s - time.monotonic(), 2),
+            seconds=round(state.ejected_until_s - time.monotonic(), 2),
         )
 
-    def unreachable(self, exchange: Exchange, engine_id: str, reason: str) -> None:
-        """Note an engine to which no connection came up, so that it gets no request."""
+    def unreachable(self, exchange: Exchange, endpoint_id: str, reason: str) -> None:
+        """Note an endpoint to which no connection came up, so that it gets no request."""
         self._telemetry.attempts.labels("unreachable").inc()
         logs.event(
             "engine.unreachable",
             request_id=exchange.admitted.arrival.request_id,
-            engine=engine_id,
+            engine=endpoint_id,
             reason=reason,
             after_ms=_age_ms(exchange),
         )
@@ -99,7 +99,7 @@
             customer=admitted.customer,
             config_version=admitted.version,
             list_age_ms=round(min(list_age_s, 1e6) * 1000),
-            engines=[asdict(chosen) for chosen in progress.chosen],
+            engines=[_log_row(chosen) for chosen in progress.chosen],
             sends=progress.sends,
             result=ending.result,
             reason=ending.reason,
@@ -108,6 +108,18 @@
         )
 
 
+def _log_row(chosen: ChosenEndpoint) -> dict[str, object]:
+    """Return what is logged of an endpoint that a request was sent to."""
+    return {
+        "engine": chosen.endpoint,
+        "in_flight": chosen.in_flight,
+        "prefill_tokens": chosen.prefill_tokens,
+        "kept_tokens": chosen.kept_tokens,
+        "source": chosen.source,
+        "scheduler": chosen.coordinator,
+    }
+
+
 def _age_ms(exchange: Exchange) -> int:
     """Return how long ago a request arrived."""
     return round((time.monotonic() - exchange.admitted.arrival.arrived_s) * 1000)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/selection_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/selection_parts.py
@@ -1,39 +1,39 @@
-"""All that decides which engine serves a request at this node, joined."""
+"""All that decides which endpoint serves a request at this node, joined."""
 
 from springbridge.membership import Membership
 from springbridge.routing.endpoint_choice import Chooser, by_token_cost
-from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.endpoint_registry import EndpointRegistry
 
-from springbridge_node.gateway.peers.coordinator_set import SchedulerSet
+from springbridge_node.gateway.peers.coordinator_set import CoordinatorSet
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 from springbridge_node.gateway.peers.load_sharing import LoadSharing
-from springbridge_node.gateway.peers.remote_selection import AssignmentClient, AssignmentServer
-from springbridge_node.gateway.requests.endpoint_selector import EngineSelector
+from springbridge_node.gateway.peers.remote_selection import SelectionClient, SelectionServer
+from springbridge_node.gateway.requests.endpoint_selector import EndpointSelector
 
 
-class Scheduling:
-    """The choice of engines, with what nodes tell each other for it.
+class SelectionParts:
+    """The choice of endpoints, with what nodes tell each other for it.
 
     Attributes:
-      loads: Tells of this node's requests at engines.
-      selector: Selects the engine of an attempt.
+      loads: Tells of this node's requests at endpoints.
+      selector: Selects the endpoint of an attempt.
     """
 
     def __init__(
-        self, board: EngineBoard, membership: Membership, chooser: Chooser | None = None
+        self, registry: EndpointRegistry, membership: Membership, chooser: Chooser | None = None
     ) -> None:
         """Join the parts.
 
         Args:
           chooser: Decides at this node whatever it knows; left out, what suits the knowledge.
         """
-        schedulers = SchedulerSet(membership)
-        self._server = AssignmentServer(board, chooser or by_token_cost)
-        self._client = AssignmentClient(board, schedulers)
+        coordinators = CoordinatorSet(membership)
+        self._server = SelectionServer(registry, chooser or by_token_cost)
+        self._client = SelectionClient(registry, coordinators)
         self.loads = LoadSharing(
-            board, membership.me.incarnation, schedulers.audience, self._server.heard
+            registry, membership.me.incarnation, coordinators.audience, self._server.heard
         )
-        self.selector = EngineSelector(board, self.loads, schedulers, self._client, chooser)
+        self.selector = EndpointSelector(registry, self.loads, coordinators, self._client, chooser)
 
     def connect(self, datagrams: PeerDatagrams) -> None:
         """Begin to tell peers and to listen to them."""
--- a/packages/springbridge-node/springbridge_node/gateway/telemetry.py
+++ b/packages/springbridge-node/springbridge_node/gateway/telemetry.py
@@ -30,7 +30,7 @@
         self.config_version = Gauge(
             "springbridge_config_version", "Version in force", registry=self.registry
         )
-        self.engines = Gauge("springbridge_engines", "Engines listed", registry=self.registry)
+        self.endpoints = Gauge("springbridge_engines", "Engines listed", registry=self.registry)
         self.nodes = Gauge("springbridge_live_nodes", "Nodes alive", registry=self.registry)
         self.store_up = Gauge(
             "springbridge_store_up", "1 while the store answers", registry=self.registry
--- a/packages/springbridge-standins/springbridge_standins/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/caller.py
@@ -57,7 +57,7 @@
     """An address that the system told a caller."""
 
     address: str
-    place: str
+    failure_domain: str
     id_prefix: str
 
 
--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants.py
@@ -151,8 +151,8 @@
     Mutant(
         "places as an intersection",
         f"{LIBRARY}/classes/placement.py",
-        "request_class.places & customer.places",
-        "request_class.places | customer.places",
+        "request_class.failure_domains & customer.failure_domains",
+        "request_class.failure_domains | customer.failure_domains",
         f"{LIBRARY}/classes/table/sheet_test.py::test_places_are_the_intersection",
     ),
     Mutant(
--- a/packages/springbridge-standins/springbridge_standins/soak_state.py
+++ b/packages/springbridge-standins/springbridge_standins/soak_state.py
@@ -50,5 +50,5 @@
         address = free_address()
         relay = running_relay(address, self.world.platform)
         self.relays[name] = await self.stack.enter_async_context(relay)
-        place = self.rng.choice(self.world.places)
-        return await self.world.start_node(name, place, table=address)
+        failure_domain = self.rng.choice(self.world.failure_domains)
+        return await self.world.start_node(name, failure_domain, table=address)
--- a/packages/springbridge-standins/springbridge_standins/users_platform/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/engine.py
@@ -26,9 +26,9 @@
       abandoned: Ids of requests whose connection closed before the script had ended.
     """
 
-    def __init__(self, engine_id: str, script: Script | None = None) -> None:
+    def __init__(self, endpoint_id: str, script: Script | None = None) -> None:
         """Keep the name and the script."""
-        self.engine_id = engine_id
+        self.endpoint_id = endpoint_id
         self.script = script or plain_answer
         self.arrived: list[RawRequest] = []
         self.abandoned: list[str] = []
@@ -106,7 +106,7 @@
     await connection.send(answer(request.request_id, b"", 503, signature="", Not_Executed="1"))
 
 
-async def other_engine(request: RawRequest, connection: Connection) -> None:
+async def other_endpoint(request: RawRequest, connection: Connection) -> None:
     """Say that another engine has this address."""
     await connection.send(answer(request.request_id, b"", 421, signature=""))
 
--- a/packages/springbridge-standins/springbridge_standins/users_platform/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/fleet.py
@@ -126,7 +126,9 @@
             stack.push_async_callback(_stop, gateway)
         await until(lambda: all(node.is_ready() for node in fleet.nodes))
         await until(lambda: all(len(node.membership.live()) == nodes for node in fleet.nodes))
-        await until(lambda: all(len(node.board.entries()) == len(engines) for node in fleet.nodes))
+        await until(
+            lambda: all(len(node.registry.entries()) == len(engines) for node in fleet.nodes)
+        )
         yield fleet
 
 
@@ -145,7 +147,7 @@
         GatewaySettings(
             name=f"node-{number}",
             ip=ip,
-            place="perth-a",
+            failure_domain="perth-a",
             addresses=Addresses(*(f"{ip}:{port}" for port in ports[:5])),
             gossip_port=ports[5],
             seeds=tuple(seed for seed in seeds if not seed.startswith(f"{ip}:")),
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -32,7 +32,7 @@
     Mutant(
         "an engine that is gone does not count",
         f"{NODE}/gateway/requests/router.py",
-        "progress.misdirected += verdict.other_engine",
+        "progress.misdirected += verdict.other_endpoint",
         "pass",
         f"{REQUESTS}::test_an_engine_that_is_gone_does_not_count_among_those_a_request_may_use",
     ),
@@ -110,15 +110,15 @@
     Mutant(
         "a silent scheduler is left out",
         f"{NODE}/gateway/peers/remote_selection.py",
-        "            self._schedulers.avoid(address)\n",
+        "            self._coordinators.avoid(address)\n",
         "",
         f"{ASSIGNMENTS}::test_a_silent_scheduler_is_left_out_and_the_next_one_asked",
     ),
     Mutant(
         "the asker's own belief of an engine counts",
         f"{NODE}/gateway/peers/remote_selection.py",
-        "usable = self._board.candidates(demand.service, tried)",
-        "usable = list(self._board._states.values()) or [None]",
+        "usable = self._registry.candidates(demand.service, tried)",
+        "usable = list(self._registry._states.values()) or [None]",
         f"{ASSIGNMENTS}::test_an_engine_that_the_asker_may_not_use_is_not_taken",
     ),
     Mutant(
--- a/packages/springbridge-standins/springbridge_standins/users_platform/soak_engine.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/soak_engine.py
@@ -67,9 +67,9 @@
       faulty: Whether faults happen.
     """
 
-    def __init__(self, engine_id: str, record: Record, rng: random.Random) -> None:
+    def __init__(self, endpoint_id: str, record: Record, rng: random.Random) -> None:
         """Keep the name, the common record and the source of chance."""
-        self._engine_id = engine_id
+        self._engine_id = endpoint_id
         self._record = record
         self._rng = rng
         self.faulty = True
--- a/packages/springbridge-standins/springbridge_standins/world.py
+++ b/packages/springbridge-standins/springbridge_standins/world.py
@@ -35,7 +35,7 @@
     """A node process and how it was started."""
 
     name: str
-    place: str
+    failure_domain: str
     caller_address: str
     peer_address: str
     process: asyncio.subprocess.Process
@@ -66,7 +66,7 @@
     caller: Caller = field(default_factory=Caller)
 
     @property
-    def places(self) -> list[str]:
+    def failure_domains(self) -> list[str]:
         """Return the failure domains that the table's engines stand in."""
         return sorted({cells["place"] for cells in self.engines().values()})
 
@@ -78,12 +78,12 @@
             if key.startswith("engine/") and kind in ("", cells["kind"])
         }
 
-    async def start_node(self, name: str, place: str, table: str = "") -> NodeProcess:
+    async def start_node(self, name: str, failure_domain: str, table: str = "") -> NodeProcess:
         """Start a node; table is the address of a relay to the platform, if there is one."""
         caller_address, peer_address = free_address(), free_address()
         flags = {
             "instance": name,
-            "place": place,
+            "place": failure_domain,
             "caller-address": caller_address,
             "peer-address": peer_address,
             "table-address": table or self.platform,
@@ -95,7 +95,7 @@
         args = [f"--{flag}={value}" for flag, value in flags.items()]
         command = ["-m", "springbridge_node", "serve", "--abort-on-violation", *args]
         process = await self._spawn(name, command)
-        node = NodeProcess(name, place, caller_address, peer_address, process)
+        node = NodeProcess(name, failure_domain, caller_address, peer_address, process)
         self.nodes[name] = node
         await self.publish_list()
         return node
@@ -281,8 +281,8 @@
 
     await until(platform_up, SETUP_S)
     for number in range(nodes):
-        place = world.places[number % len(world.places)]
-        await world.start_node(f"node-{number + 1}", place)
+        failure_domain = world.failure_domains[number % len(world.failure_domains)]
+        await world.start_node(f"node-{number + 1}", failure_domain)
 
 
 async def _put_in_force(world: World) -> None:
--- a/packages/springbridge/springbridge/classes/entities.py
+++ b/packages/springbridge/springbridge/classes/entities.py
@@ -41,7 +41,7 @@
     first_token_ms: int
     between_tokens_ms: int
     max_wait_ms: int
-    places: frozenset[str]
+    failure_domains: frozenset[str]
     repeatable: bool
 
 
@@ -50,7 +50,7 @@
     """A customer, known by the SHA-256 hex digests of its keys."""
 
     name: str
-    places: frozenset[str]
+    failure_domains: frozenset[str]
     key_hashes: tuple[str, ...]
 
 
@@ -71,7 +71,7 @@
 
     Attributes:
       address: IP number and port, such as 127.0.0.1:9000.
-      place: Failure domain in which the engine stands.
+      failure_domain: Failure domain in which the engine stands.
       target: The model it has loaded or the service it offers.
       token_capacity: Tokens of prompt and answer that fit its memory at a time.
       checks_tokens: Whether it compares the fencing token of an order itself.
@@ -80,7 +80,7 @@
     name: str
     kind: EngineKind
     address: str
-    place: str
+    failure_domain: str
     target: str
     token_capacity: int
     checks_tokens: bool
--- a/packages/springbridge/springbridge/classes/placement.py
+++ b/packages/springbridge/springbridge/classes/placement.py
@@ -9,7 +9,7 @@
 from springbridge.problems import Problem
 
 
-def allowed_places(
+def allowed_failure_domains(
     request_class: RequestClass, customer: Customer
 ) -> Result[frozenset[str], Problem]:
     """Return the places that class and customer share.
@@ -17,20 +17,20 @@
     Returns:
       The places, or NO_ALLOWED_PLACE where there is none.
     """
-    places = request_class.places & customer.places
-    if not places:
+    failure_domains = request_class.failure_domains & customer.failure_domains
+    if not failure_domains:
         return Failure(Problem(Code.NO_ALLOWED_PLACE, source=request_class.name))
-    return Success(places)
+    return Success(failure_domains)
 
 
 def allowed_engines(
-    table: Table, request_class: RequestClass, places: Iterable[str]
+    table: Table, request_class: RequestClass, failure_domains: Iterable[str]
 ) -> tuple[Engine, ...]:
     """Return the engines in the given places that serve the class, ordered by name."""
-    inside = frozenset(places)
+    inside = frozenset(failure_domains)
     found = [
         engine
         for engine in table.engines.values()
-        if engine.target == request_class.target and engine.place in inside
+        if engine.target == request_class.target and engine.failure_domain in inside
     ]
     return tuple(sorted(found, key=lambda engine: engine.name))
--- a/packages/springbridge/springbridge/classes/table/rows.py
+++ b/packages/springbridge/springbridge/classes/table/rows.py
@@ -111,7 +111,7 @@
         first_token_ms=_whole(cells, "first_token_ms", 1, LONGEST_MS),
         between_tokens_ms=_whole(cells, "between_tokens_ms", 1, LONGEST_MS),
         max_wait_ms=_whole(cells, "max_wait_ms", 1, LONGEST_MS),
-        places=frozenset(_words(cells, "places", NAME)),
+        failure_domains=frozenset(_words(cells, "places", NAME)),
         repeatable=_choice(cells, "repeatable", YES_NO),
     )
 
@@ -119,7 +119,7 @@
 def _customer(parts: list[str], cells: Cells) -> Customer:
     return Customer(
         name=parts[1],
-        places=frozenset(_words(cells, "places", NAME)),
+        failure_domains=frozenset(_words(cells, "places", NAME)),
         key_hashes=_words(cells, "key_hashes", DIGEST),
     )
 
@@ -139,7 +139,7 @@
         name=parts[1],
         kind=_choice(cells, "kind", KINDS),
         address=_word(cells, "address", ADDRESS),
-        place=_word(cells, "place", NAME),
+        failure_domain=_word(cells, "place", NAME),
         target=_word(cells, "target", NAME),
         token_capacity=_whole(cells, "token_capacity", 1, 10**9),
         checks_tokens=_choice(cells, "checks_tokens", YES_NO),
--- a/packages/springbridge/springbridge/classes/table/sheet_test.py
+++ b/packages/springbridge/springbridge/classes/table/sheet_test.py
@@ -8,7 +8,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, HasLength, Is
 
-from springbridge.classes.placement import allowed_engines, allowed_places
+from springbridge.classes.placement import allowed_engines, allowed_failure_domains
 from springbridge.classes.table import sheet
 from springbridge.classes.table.changes import (
     Change,
@@ -170,15 +170,15 @@
     rows["customer/swan"] = {**rows["customer/swan"], "places": "perth-a elsewhere"}
     table, _ = build(1, rows)
     claims, swan = table.classes["claim-answers"], table.customers["swan"]
-    places = allowed_places(claims, swan).unwrap()
-    names = [engine.name for engine in allowed_engines(table, claims, places)]
-    assert_that(places, Equals(frozenset({"perth-a"})))
+    failure_domains = allowed_failure_domains(claims, swan).unwrap()
+    names = [engine.name for engine in allowed_engines(table, claims, failure_domains)]
+    assert_that(failure_domains, Equals(frozenset({"perth-a"})))
     assert_that(names, Equals(["matching-1", "matching-4"]))
 
 
 def test_no_common_place_is_refused(rows):
     rows["customer/swan"] = {**rows["customer/swan"], "places": "elsewhere"}
     table, _ = build(1, rows)
-    result = allowed_places(table.classes["claim-answers"], table.customers["swan"])
+    result = allowed_failure_domains(table.classes["claim-answers"], table.customers["swan"])
     assert_that(isinstance(result, Success), Is(False))
     assert_that(result.failure().code, Is(Code.NO_ALLOWED_PLACE))
--- a/packages/springbridge/springbridge/membership.py
+++ b/packages/springbridge/springbridge/membership.py
@@ -29,14 +29,14 @@
 
 
 @dataclass(frozen=True)
-class ListingSeen:
-    """A list of engines as a node tells of it.
+class SnapshotStatus:
+    """The list of endpoints as a node tells of it.
 
     Attributes:
-      mark: Hash of its content; two nodes with the same mark have the same list.
+      fingerprint: Hash of its content; two nodes with the same fingerprint have the same list.
     """
 
-    mark: int = 0
+    fingerprint: int = 0
     age_s: float = 1e9
 
 
@@ -53,20 +53,20 @@
       confirmed_ago_s: How long ago the node, or somebody it heard from, read that version as the
         newest from the platform's table.
       table_out: Whether the node cannot reach the platform's table.
-      listing: What list of engines the node has, and how old it was at the heartbeat.
+      endpoint_snapshot: What list of endpoints the node has, and how old it was at the heartbeat.
     """
 
     incarnation: str
     instance: str
     peer_address: str
     caller_address: str
-    place: str
+    failure_domain: str
     heartbeat: int = 0
     phase: Phase = Phase.LIVE
     config_version: int = 0
     confirmed_ago_s: float = 1e9
     table_out: bool = False
-    listing: ListingSeen = ListingSeen()
+    endpoint_snapshot: SnapshotStatus = SnapshotStatus()
 
 
 @dataclass(frozen=True)
@@ -114,7 +114,7 @@
         config_version: int,
         confirmed_ago_s: float,
         table_out: bool,
-        listing: ListingSeen | None = None,
+        endpoint_snapshot: SnapshotStatus | None = None,
     ) -> None:
         """Count up this node's heartbeat and state what it knows of configuration and engines."""
         self.me = replace(
@@ -123,7 +123,7 @@
             config_version=config_version,
             confirmed_ago_s=confirmed_ago_s,
             table_out=table_out,
-            listing=listing or self.me.listing,
+            endpoint_snapshot=endpoint_snapshot or self.me.endpoint_snapshot,
         )
 
     def leave(self) -> None:
@@ -189,11 +189,11 @@
             return None
         return known.member
 
-    def listings(self) -> list[tuple[Member, float]]:
-        """Return the other members that run, and how old their lists of engines are by now."""
+    def snapshot_ages(self) -> list[tuple[Member, float]]:
+        """Return the other members that run, and how old their lists of endpoints are by now."""
         now_s = self._clock()
         return [
-            (known.member, known.member.listing.age_s + now_s - known.heard_s)
+            (known.member, known.member.endpoint_snapshot.age_s + now_s - known.heard_s)
             for known in self._heard()
         ]
 
@@ -240,8 +240,8 @@
         enough, since bytes between failure domains cost.
         """
         members = self.reachable()
-        near = [member for member in members if member.place == self.me.place]
-        far = [member for member in members if member.place != self.me.place]
+        near = [member for member in members if member.failure_domain == self.me.failure_domain]
+        far = [member for member in members if member.failure_domain != self.me.failure_domain]
         self._rng.shuffle(near)
         self._rng.shuffle(far)
         targets = [*far[:1], *near, *far[1:]][: self._pace.peers]
@@ -293,5 +293,11 @@
     """Return a member whose ages count on from when it was heard, to be told on."""
     since_s = now_s - known.heard_s
     member = known.member
-    listing = replace(member.listing, age_s=member.listing.age_s + since_s)
-    return replace(member, listing=listing, confirmed_ago_s=member.confirmed_ago_s + since_s)
+    endpoint_snapshot = replace(
+        member.endpoint_snapshot, age_s=member.endpoint_snapshot.age_s + since_s
+    )
+    return replace(
+        member,
+        endpoint_snapshot=endpoint_snapshot,
+        confirmed_ago_s=member.confirmed_ago_s + since_s,
+    )
--- a/packages/springbridge/springbridge/membership_test.py
+++ b/packages/springbridge/springbridge/membership_test.py
@@ -13,24 +13,24 @@
     FORGET_S,
     GOSSIP_INTERVAL_S,
     SUSPECT_S,
-    ListingSeen,
     Member,
     Membership,
     Pace,
     Phase,
+    SnapshotStatus,
 )
 
 
-def member(name, place="perth-a", **fields):
-    return Member(name, name, f"{name}:1", f"{name}:2", place, **fields)
+def member(name, failure_domain="perth-a", **fields):
+    return Member(name, name, f"{name}:1", f"{name}:2", failure_domain, **fields)
 
 
 @pytest.fixture
 def make_view(clock):
     """Return a function that makes the view of one node."""
 
-    def make(name, place="perth-a", seed=1):
-        return Membership(member(name, place), clock, random.Random(seed))
+    def make(name, failure_domain="perth-a", seed=1):
+        return Membership(member(name, failure_domain), clock, random.Random(seed))
 
     return make
 
@@ -234,14 +234,14 @@
 
 
 def test_what_is_told_on_of_a_member_is_as_old_as_it_is(clock):
-    # A list of engines read a second ago must not look fresh because it came by a third node.
-    reader = Member("r", "r", "10.0.0.1:1", "", "a", 1, listing=ListingSeen(7, 0.1))
+    # A list of endpoints read a second ago must not look fresh because it came by a third node.
+    reader = Member("r", "r", "10.0.0.1:1", "", "a", 1, endpoint_snapshot=SnapshotStatus(7, 0.1))
     reader = replace(reader, confirmed_ago_s=0.2)
     relay = Membership(Member("m", "m", "10.0.0.2:1", "", "a"), clock, random.Random(1))
     relay.merge([reader])
     clock.advance(1.0)
     told = next(member for member in relay.digest() if member.incarnation == "r")
-    assert_that(round(told.listing.age_s, 3), Equals(1.1))
+    assert_that(round(told.endpoint_snapshot.age_s, 3), Equals(1.1))
     assert_that(round(told.confirmed_ago_s, 3), Equals(1.2))
 
 
--- a/packages/springbridge/springbridge/routing/__init__.py
+++ b/packages/springbridge/springbridge/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing by host and path: which service, customer and engine serve a request, and when not."""
+"""Routing by host and path: which service, customer and endpoint serve a request, and when not."""
--- a/packages/springbridge/springbridge/routing/conftest.py
+++ b/packages/springbridge/springbridge/routing/conftest.py
@@ -1,16 +1,16 @@
-"""Fixtures of the routing tests: routes, requests and boards of engines."""
+"""Fixtures of the routing tests: routes, requests and boards of endpoints."""
 
 from dataclasses import replace
 
 import pytest
 
-from springbridge.routing.endpoint_registry import EngineBoard
+from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import (
     Admitted,
     Arrival,
     Demand,
-    EngineEntry,
-    EngineListing,
+    EndpointEntry,
+    EndpointSnapshot,
     PromptPart,
     Route,
     Service,
@@ -34,7 +34,7 @@
         "target_s": 0.5,
         "pause_s": 0.0,
         "priority": 2,
-        "max_engines": 2,
+        "max_endpoints": 2,
         "needs_key": True,
     }
     return Route(**(plain | fields))
@@ -63,18 +63,18 @@
     return Admitted(arrival, make_route(), service, "councils", 2, 1, 1003.0)
 
 
-def make_demand(parts=(), fetches=True, place="perth-a", **fields):
+def make_demand(parts=(), fetches=True, failure_domain="perth-a", **fields):
     """Return what a request with a prompt demands."""
-    return replace(Demand.from_admitted(make_admitted(parts, fetches), place), **fields)
+    return replace(Demand.from_admitted(make_admitted(parts, fetches), failure_domain), **fields)
 
 
 @pytest.fixture
-def engines(clock):
-    """Return a board of five model engines in one place."""
-    board = EngineBoard(clock)
+def endpoints(clock):
+    """Return a registry of five model endpoints in one place."""
+    registry = EndpointRegistry(clock)
     entries = tuple(
-        EngineEntry(f"e{number}", MODEL, f"10.0.0.{number}:80", "perth-a", 64, False)
+        EndpointEntry(f"e{number}", MODEL, f"10.0.0.{number}:80", "perth-a", 64, False)
         for number in range(5)
     )
-    board.install(EngineListing(1, entries), {MODEL: 500_000}, 0.0)
-    return board
+    registry.install(EndpointSnapshot(1, entries), {MODEL: 500_000}, 0.0)
+    return registry
--- a/packages/springbridge/springbridge/routing/coordinators.py
+++ b/packages/springbridge/springbridge/routing/coordinators.py
@@ -1,9 +1,9 @@
 """Which instances schedule prompts in a fleet too large for all to know of every request.
 
-In a small fleet each instance hears of all requests and chooses engines itself. In a large one a
+In a small fleet each instance hears of all requests and chooses endpoints itself. In a large one a
 few instances of each failure domain hear of all requests for a service, and the others ask one of
 them. The role follows from hashing over the live members, for each service apart, so that nobody is
-set aside for it and many services have many schedulers. Nothing is lost with one: the next in the
+set aside for it and many services have many coordinators. Nothing is lost with one: the next in the
 order is asked, and an instance that nobody answers chooses alone.
 """
 
@@ -12,29 +12,31 @@
 from springbridge.hashing import score
 from springbridge.membership import Member
 
-SCHEDULERS_IN_A_PLACE = 2
+COORDINATORS_PER_FAILURE_DOMAIN = 2
 ROLE_KEY = "scheduler of requests"
 
 
-def schedulers(members: Iterable[Member], service: str) -> list[Member]:
+def coordinators(members: Iterable[Member], service: str) -> list[Member]:
     """Return the members that schedule a service, the first of each failure domain first.
 
     Args:
       members: Those that run and are not leaving.
     """
-    by_place: dict[str, list[Member]] = {}
+    by_failure_domain: dict[str, list[Member]] = {}
     for member in members:
-        by_place.setdefault(member.place, []).append(member)
+        by_failure_domain.setdefault(member.failure_domain, []).append(member)
     key = f"{ROLE_KEY} for {service}"
     chosen = []
-    for place in sorted(by_place):
+    for failure_domain in sorted(by_failure_domain):
         ranked = sorted(
-            by_place[place], key=lambda member: score(key, member.incarnation), reverse=True
+            by_failure_domain[failure_domain],
+            key=lambda member: score(key, member.incarnation),
+            reverse=True,
         )
-        chosen += enumerate(ranked[:SCHEDULERS_IN_A_PLACE])
+        chosen += enumerate(ranked[:COORDINATORS_PER_FAILURE_DOMAIN])
     return [member for _, member in sorted(chosen, key=lambda pair: pair[0])]
 
 
-def in_order_for(place: str, found: Iterable[Member]) -> list[Member]:
-    """Return the schedulers as an instance asks them: those of its own failure domain first."""
-    return sorted(found, key=lambda member: member.place != place)
+def in_order_for(failure_domain: str, found: Iterable[Member]) -> list[Member]:
+    """Return the coordinators as an instance asks them: those of its own failure domain first."""
+    return sorted(found, key=lambda member: member.failure_domain != failure_domain)
--- a/packages/springbridge/springbridge/routing/coordinators_test.py
+++ b/packages/springbridge/springbridge/routing/coordinators_test.py
@@ -4,7 +4,11 @@
 from testtools.matchers import Equals, HasLength
 
 from springbridge.membership import Member
-from springbridge.routing.coordinators import SCHEDULERS_IN_A_PLACE, in_order_for, schedulers
+from springbridge.routing.coordinators import (
+    COORDINATORS_PER_FAILURE_DOMAIN,
+    coordinators,
+    in_order_for,
+)
 
 PLACES = ("a", "b", "c")
 MODEL = "model"
@@ -18,33 +22,33 @@
 
 
 def test_each_failure_domain_has_its_schedulers():
-    places = [member.place for member in schedulers(fleet(30), MODEL)]
-    assert_that(sorted(places), Equals(sorted(PLACES * SCHEDULERS_IN_A_PLACE)))
+    places = [member.failure_domain for member in coordinators(fleet(30), MODEL)]
+    assert_that(sorted(places), Equals(sorted(PLACES * COORDINATORS_PER_FAILURE_DOMAIN)))
 
 
 def test_all_instances_agree_whatever_the_order_of_their_members():
     members = fleet(30)
-    assert_that(schedulers(reversed(members), MODEL), Equals(schedulers(members, MODEL)))
+    assert_that(coordinators(reversed(members), MODEL), Equals(coordinators(members, MODEL)))
 
 
 def test_the_loss_of_one_moves_only_its_own_role():
     members = fleet(30)
-    before = schedulers(members, MODEL)
-    after = schedulers([member for member in members if member is not before[0]], MODEL)
+    before = coordinators(members, MODEL)
+    after = coordinators([member for member in members if member is not before[0]], MODEL)
     assert_that([member for member in after if member not in before], HasLength(1))
     assert_that([member for member in before if member not in after], Equals([before[0]]))
 
 
 def test_an_instance_asks_its_own_failure_domain_first():
-    ordered = in_order_for("b", schedulers(fleet(30), MODEL))
-    assert_that([member.place for member in ordered[:2]], Equals(["b", "b"]))
+    ordered = in_order_for("b", coordinators(fleet(30), MODEL))
+    assert_that([member.failure_domain for member in ordered[:2]], Equals(["b", "b"]))
     assert_that(ordered, HasLength(6))
 
 
 def test_a_failure_domain_with_one_instance_has_one_scheduler():
-    assert_that(schedulers(fleet(1), MODEL), HasLength(1))
+    assert_that(coordinators(fleet(1), MODEL), HasLength(1))
 
 
 def test_another_service_has_other_schedulers():
     members = fleet(90)
-    assert_that(schedulers(members, "other") == schedulers(members, MODEL), Equals(False))
+    assert_that(coordinators(members, "other") == coordinators(members, MODEL), Equals(False))
--- a/packages/springbridge/springbridge/routing/endpoint_choice_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice_test.py
@@ -7,7 +7,7 @@
 from springbridge.routing.conftest import MODEL, make_demand
 from springbridge.routing.endpoint_choice import (
     LEAST_FETCH_TOKENS,
-    _quiet_engines,
+    _quiet_endpoints,
     by_shared_prompt,
     by_token_cost,
     least_in_flight,
@@ -21,105 +21,111 @@
 HERE = "perth-a"
 
 
-def states_of(board):
-    return board.candidates(MODEL, ())
+def states_of(registry):
+    return registry.candidates(MODEL, ())
 
 
-def start(board, engine, attempt="a", parts=LONG):
+def start(registry, endpoint, attempt="a", parts=LONG):
     prompt_parts = tuple(PromptPart(name, tokens) for name, tokens in parts)
     tokens = sum(part.tokens for part in prompt_parts)
-    board.take_notice(LoadNotice(LoadPhase.STARTED, attempt, engine, tokens, prompt_parts))
+    registry.take_notice(LoadNotice(LoadPhase.STARTED, attempt, endpoint, tokens, prompt_parts))
 
 
-def finish(board, engine, attempt="a"):
-    board.take_notice(LoadNotice(LoadPhase.ENDED, attempt, engine))
+def finish(registry, endpoint, attempt="a"):
+    registry.take_notice(LoadNotice(LoadPhase.ENDED, attempt, endpoint))
 
 
-def chosen(board, parts, place=HERE, **fields):
-    return by_token_cost(states_of(board), make_demand(parts, place=place, **fields))
+def chosen(registry, parts, failure_domain=HERE, **fields):
+    return by_token_cost(
+        states_of(registry), make_demand(parts, failure_domain=failure_domain, **fields)
+    )
 
 
-def test_a_shared_prompt_returns_to_the_engine_that_read_it(engines):
-    first = chosen(engines, LONG).state.entry.engine_id
-    start(engines, first)
-    finish(engines, first)
+def test_a_shared_prompt_returns_to_the_engine_that_read_it(endpoints):
+    first = chosen(endpoints, LONG).state.entry.endpoint_id
+    start(endpoints, first)
+    finish(endpoints, first)
     again = (("shared", 13_000), ("other", 3_000))
-    assert_that(chosen(engines, again).state.entry.engine_id, Equals(first))
+    assert_that(chosen(endpoints, again).state.entry.endpoint_id, Equals(first))
 
 
-def test_all_nodes_send_a_new_shared_prompt_to_the_same_engine(engines):
-    names = {chosen(engines, LONG).state.entry.engine_id for _ in range(5)}
+def test_all_nodes_send_a_new_shared_prompt_to_the_same_engine(endpoints):
+    names = {chosen(endpoints, LONG).state.entry.endpoint_id for _ in range(5)}
     assert_that(len(names), Equals(1))
 
 
-def test_a_busy_home_is_left_and_its_prompt_is_fetched(engines):
-    home = chosen(engines, LONG).state.entry.engine_id
-    start(engines, home, "read", LONG)
+def test_a_busy_home_is_left_and_its_prompt_is_fetched(endpoints):
+    home = chosen(endpoints, LONG).state.entry.endpoint_id
+    start(endpoints, home, "read", LONG)
     for number in range(4):
-        start(engines, home, f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
-    choice = chosen(engines, LONG)
-    assert_that(choice.state.entry.engine_id, Not(Equals(home)))
-    assert_that(choice.source.entry.engine_id, Equals(home))
+        start(endpoints, home, f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
+    choice = chosen(endpoints, LONG)
+    assert_that(choice.state.entry.endpoint_id, Not(Equals(home)))
+    assert_that(choice.source.entry.endpoint_id, Equals(home))
 
 
-def test_nothing_is_fetched_where_the_service_cannot(engines):
-    home = chosen(engines, LONG, fetches=False).state.entry.engine_id
-    start(engines, home, "read", LONG)
+def test_nothing_is_fetched_where_the_service_cannot(endpoints):
+    home = chosen(endpoints, LONG, fetches=False).state.entry.endpoint_id
+    start(endpoints, home, "read", LONG)
     for number in range(4):
-        start(engines, home, f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
-    assert_that(chosen(engines, LONG, fetches=False).source, Is(None))
+        start(endpoints, home, f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
+    assert_that(chosen(endpoints, LONG, fetches=False).source, Is(None))
 
 
-def test_a_small_part_is_not_fetched(engines):
+def test_a_small_part_is_not_fetched(endpoints):
     small = (("shared", LEAST_FETCH_TOKENS - 1), ("own", 900))
-    start(engines, "e1", "read", (small[0], ("other", 900)))
+    start(endpoints, "e1", "read", (small[0], ("other", 900)))
     for number in range(4):
-        start(engines, "e1", f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
-    assert_that(chosen(engines, small).source, Is(None))
+        start(endpoints, "e1", f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
+    assert_that(chosen(endpoints, small).source, Is(None))
 
 
-def test_short_prompts_go_to_the_quiet_engine_and_long_ones_do_not(engines):
-    (quiet,) = _quiet_engines(states_of(engines))
-    assert_that(chosen(engines, SHORT).state.entry.engine_id, Equals(quiet))
+def test_short_prompts_go_to_the_quiet_engine_and_long_ones_do_not(endpoints):
+    (quiet,) = _quiet_endpoints(states_of(endpoints))
+    assert_that(chosen(endpoints, SHORT).state.entry.endpoint_id, Equals(quiet))
     for number in range(8):
         parts = ((f"shared-{number}", 13_000), ("own", 3_000))
-        assert_that(chosen(engines, parts).state.entry.engine_id, Not(Equals(quiet)))
+        assert_that(chosen(endpoints, parts).state.entry.endpoint_id, Not(Equals(quiet)))
 
 
-def test_long_prompts_use_the_quiet_engine_when_the_others_are_far_behind(engines):
-    (quiet,) = _quiet_engines(states_of(engines))
+def test_long_prompts_use_the_quiet_engine_when_the_others_are_far_behind(endpoints):
+    (quiet,) = _quiet_endpoints(states_of(endpoints))
     for name in {"e0", "e1", "e2", "e3", "e4"} - {quiet}:
         for number in range(3):
-            start(engines, name, f"{name}-{number}", ((f"{name}{number}", 20_000), ("own", 5_000)))
-    assert_that(chosen(engines, LONG).state.entry.engine_id, Equals(quiet))
+            start(
+                endpoints, name, f"{name}-{number}", ((f"{name}{number}", 20_000), ("own", 5_000))
+            )
+    assert_that(chosen(endpoints, LONG).state.entry.endpoint_id, Equals(quiet))
 
 
-def test_an_engine_that_has_read_a_prompt_is_no_longer_behind(engines):
-    start(engines, "e1", "a", LONG)
-    assert_that(engines.find("e1").prefill_tokens, Equals(16_000))
-    engines.take_notice(LoadNotice(LoadPhase.READ, "a", "e1"))
-    assert_that(engines.find("e1").prefill_tokens, Equals(0))
-    assert_that(engines.find("e1").in_flight, Equals(1))
-    finish(engines, "e1")
-    assert_that(engines.find("e1").in_flight, Equals(0))
+def test_an_engine_that_has_read_a_prompt_is_no_longer_behind(endpoints):
+    start(endpoints, "e1", "a", LONG)
+    assert_that(endpoints.find("e1").prefill_tokens, Equals(16_000))
+    endpoints.take_notice(LoadNotice(LoadPhase.READ, "a", "e1"))
+    assert_that(endpoints.find("e1").prefill_tokens, Equals(0))
+    assert_that(endpoints.find("e1").in_flight, Equals(1))
+    finish(endpoints, "e1")
+    assert_that(endpoints.find("e1").in_flight, Equals(0))
 
 
-def test_a_load_whose_end_was_never_heard_of_expires(engines, clock):
-    start(engines, "e1", "a", LONG)
+def test_a_load_whose_end_was_never_heard_of_expires(endpoints, clock):
+    start(endpoints, "e1", "a", LONG)
     clock.advance(60.0)
-    engines.expire_loads()
-    assert_that((engines.find("e1").in_flight, engines.find("e1").prefill_tokens), Equals((0, 0)))
+    endpoints.expire_loads()
+    assert_that(
+        (endpoints.find("e1").in_flight, endpoints.find("e1").prefill_tokens), Equals((0, 0))
+    )
 
 
-def test_a_request_without_a_prompt_goes_where_the_fewest_are(engines):
+def test_a_request_without_a_prompt_goes_where_the_fewest_are(endpoints):
     for name in ("e0", "e1", "e2", "e4"):
-        start(engines, name, name, ())
-    assert_that(chosen(engines, ()).state.entry.engine_id, Equals("e3"))
+        start(endpoints, name, name, ())
+    assert_that(chosen(endpoints, ()).state.entry.endpoint_id, Equals("e3"))
 
 
 @pytest.mark.parametrize("choose", [least_in_flight, by_shared_prompt])
-def test_the_baselines_choose_an_engine(engines, choose):
-    assert_that(choose(states_of(engines), make_demand(LONG)).state.entry.service, Equals(MODEL))
+def test_the_baselines_choose_an_engine(endpoints, choose):
+    assert_that(choose(states_of(endpoints), make_demand(LONG)).state.entry.service, Equals(MODEL))
 
 
 def test_the_least_recently_used_parts_give_way():
--- a/packages/springbridge/springbridge/routing/endpoint_state.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state.py
@@ -1,8 +1,8 @@
-"""One engine as an instance sees it: its entry, its load, how it fails, and what it reads.
+"""One endpoint as an instance sees it: its entry, its load, how it fails, and what it reads.
 
 The load is that of all instances as far as their notices came. Notices may be lost, so a load whose
-end is never heard of expires, and that of an instance that is silent is dropped: what an engine had
-to read when a cut came would count as its backlog long after it was read.
+end is never heard of expires, and that of an instance that is silent is dropped: what an endpoint
+had to read when a cut came would count as its backlog long after it was read.
 """
 
 from collections.abc import Set
@@ -11,32 +11,32 @@
 from springbridge.routing.load_notices import Load, LoadNotice, teller_of
 from springbridge.routing.prefix_cache import PrefixCache
 from springbridge.routing.reading_speed import ReadingSpeed
-from springbridge.routing.records import EngineEntry
+from springbridge.routing.records import EndpointEntry
 
 LONGEST_LOAD_S = 20.0
 LONGEST_READ_S = 8.0
 
 
 @dataclass
-class EngineState:
-    """One engine as this node sees it.
+class EndpointState:
+    """One endpoint as this node sees it.
 
     Attributes:
       loads: The requests that it has now, of all nodes as far as this node knows.
       prefill_tokens: Prompt tokens of those that it has still to read.
       speed: How fast it reads.
       failures: Failures in a row.
-      rests_until_s: No request goes there before this moment unless there is no other engine.
+      rests_until_s: No request goes there before this moment unless there is no other endpoint.
       reachable: Whether the last attempt to connect succeeded; if not, no request goes there.
-      usable_until_s: When an engine that is no longer listed gets its last request.
+      usable_until_s: When an endpoint that is no longer listed gets its last request.
     """
 
-    entry: EngineEntry
+    entry: EndpointEntry
     loads: dict[str, Load] = field(default_factory=dict)
     prefill_tokens: int = 0
     speed: ReadingSpeed = field(default_factory=ReadingSpeed)
     failures: int = 0
-    rests_until_s: float = 0.0
+    ejected_until_s: float = 0.0
     reachable: bool = True
     usable_until_s: float = float("inf")
     cache: PrefixCache = field(default_factory=PrefixCache)
@@ -55,9 +55,9 @@
         """Return whether it may get a request, at rest or not."""
         return not self.entry.draining and self.reachable and self.usable_until_s > now_s
 
-    def rests(self, now_s: float) -> bool:
-        """Return whether it gets a request only if there is no other engine."""
-        return self.rests_until_s > now_s
+    def is_ejected(self, now_s: float) -> bool:
+        """Return whether it gets a request only if there is no other endpoint."""
+        return self.ejected_until_s > now_s
 
     def started(self, notice: LoadNotice, now_s: float) -> None:
         """Add a request to the load, once."""
@@ -72,7 +72,7 @@
             self.speed.has_work(now_s)
 
     def read(self, attempt_id: str, now_s: float) -> None:
-        """Note that the engine has read a prompt."""
+        """Note that the endpoint has read a prompt."""
         self.speed.was_read(self._drop_prefill(attempt_id), now_s)
         self._note_idle()
 
--- a/packages/springbridge/springbridge/routing/endpoint_state_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state_test.py
@@ -4,10 +4,10 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge.routing.endpoint_state import LONGEST_LOAD_S, LONGEST_READ_S, EngineState
+from springbridge.routing.endpoint_state import LONGEST_LOAD_S, LONGEST_READ_S, EndpointState
 from springbridge.routing.load_notices import LoadNotice, LoadPhase, attempt_name
 from springbridge.routing.reading_speed import LEAST_SAMPLE_TOKENS, USUAL_TOKENS_PER_S
-from springbridge.routing.records import EngineEntry
+from springbridge.routing.records import EndpointEntry
 
 LONG_PROMPT = LEAST_SAMPLE_TOKENS
 ONE_S = LONG_PROMPT / USUAL_TOKENS_PER_S
@@ -16,7 +16,7 @@
 @pytest.fixture
 def state():
     """Return an engine without a load."""
-    return EngineState(EngineEntry("e0", "model", "10.0.0.1:80", "perth-a", 64, False))
+    return EndpointState(EndpointEntry("e0", "model", "10.0.0.1:80", "perth-a", 64, False))
 
 
 def start(state, attempt_id, now_s, tokens=LONG_PROMPT):
--- a/packages/springbridge/springbridge/routing/event_stream.py
+++ b/packages/springbridge/springbridge/routing/event_stream.py
@@ -1,7 +1,7 @@
 """Server-sent events: cutting a stream into whole events and reading their ids.
 
-A stream may be cut off within an event. Only whole events are handed on, so that another engine can
-go on after the last of them.
+A stream may be cut off within an event. Only whole events are handed on, so that another endpoint
+can go on after the last of them.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event as the engine sent it, and its id where it has one."""
+    """One whole event as the endpoint sent it, and its id where it has one."""
 
     raw: bytes
     event_id: str | None
--- a/packages/springbridge/springbridge/routing/load_notices.py
+++ b/packages/springbridge/springbridge/routing/load_notices.py
@@ -1,8 +1,8 @@
-"""What nodes tell each other of the requests that they have at engines.
+"""What nodes tell each other of the requests that they have at endpoints.
 
-An engine's own report is late and costs a call. What a node does with a request it knows at once,
+An endpoint's own report is late and costs a call. What a node does with a request it knows at once,
 and a notice of a hundred bytes tells the others within milliseconds. Notices may be lost: they are
-hints for the choice of engine, and a load whose end is never heard of expires.
+hints for the choice of endpoint, and a load whose end is never heard of expires.
 """
 
 from dataclasses import dataclass
@@ -24,10 +24,10 @@
 
 
 class LoadPhase(IntEnum):
-    """What happened to a request at an engine.
+    """What happened to a request at an endpoint.
 
-    UNREACHED and GONE are no phases of the request but what it showed of the engine: no connection
-    came up, or another engine has its address.
+    UNREACHED and GONE are no phases of the request but what it showed of the endpoint: no
+    connection came up, or another endpoint has its address.
     """
 
     STARTED = 0
@@ -39,18 +39,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadNotice:
-    """One request at one engine changed its phase.
+    """One request at one endpoint changed its phase.
 
     Attributes:
       attempt_id: Names the attempt among those of all nodes.
       prompt_tokens: Length of the prompt; only with STARTED.
-      prompt_parts: What the engine will keep of it; only with STARTED.
-      fetched_tokens: What the engine keeps or fetches from another; only with STARTED.
+      prompt_parts: What the endpoint will keep of it; only with STARTED.
+      fetched_tokens: What the endpoint keeps or fetches from another; only with STARTED.
     """
 
     phase: LoadPhase
     attempt_id: str
-    engine_id: str
+    endpoint_id: str
     prompt_tokens: int = 0
     prompt_parts: tuple[PromptPart, ...] = ()
     fetched_tokens: int = 0
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A request that an engine has.
+    """A request that an endpoint has.
 
     Attributes:
       prefill_tokens: Prompt tokens that it probably has still to read.
--- a/packages/springbridge/springbridge/routing/overload.py
+++ b/packages/springbridge/springbridge/routing/overload.py
@@ -1,20 +1,20 @@
-"""When a request is refused at once, because its engines have more than they can bring to an end.
+"""When a request is refused at once, because its endpoints have more than they can bring to an end.
 
-An engine that runs too many requests at a time brings none of them to its end: each token takes
-longer, and all miss their deadlines together. An engine with a long backlog of prompts answers
+An endpoint that runs too many requests at a time brings none of them to its end: each token takes
+longer, and all miss their deadlines together. An endpoint with a long backlog of prompts answers
 nobody in time: what comes now is read when its caller no longer profits from it, and everything
-behind it waits for that. So a request is refused while every engine that it may use is too full or
-too far behind for its priority, the least urgent first. The most urgent are refused last, when the
-engines' own queues are long as well.
+behind it waits for that. So a request is refused while every endpoint that it may use is too full
+or too far behind for its priority, the least urgent first. The most urgent are refused last, when
+the endpoints' own queues are long as well.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from springbridge.routing.endpoint_state import EngineState
+from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.records import Demand
 
-# Share of an engine's slots that may be taken when a request of a priority is still sent there.
+# Share of an endpoint's slots that may be taken when a request of a priority is still sent there.
 FULLEST_BY_PRIORITY = (1.5, 0.75, 0.5)
 # Bursts last for seconds, and many callers come back only once.
 RETRY_AFTER_S = 2.0
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """Why a request is refused: its engines have too much.
+    """Why a request is refused: its endpoints have too much.
 
     Attributes:
-      backlog_s: What the engine with the shortest backlog has still to read, in seconds.
+      backlog_s: What the endpoint with the shortest backlog has still to read, in seconds.
       longest_wait_s: The longest backlog behind which the request would be sent.
-      in_flight: Requests that the emptiest engine has.
+      in_flight: Requests that the emptiest endpoint has.
     """
 
     backlog_s: float
@@ -67,11 +67,12 @@
         return RETRY_AFTER_S + max(0.0, self.backlog_s - self.longest_wait_s)
 
 
-def overload(states: Sequence[EngineState], demand: Demand) -> Overload | None:
-    """Return why a request is refused if all its engines are too full or too far behind, else None.
+def overload(states: Sequence[EndpointState], demand: Demand) -> Overload | None:
+    """Return why a request is refused if all its endpoints are too full or too far behind, else
+    None.
 
     Args:
-      states: The engines that it may use; none is not an overload.
+      states: The endpoints that it may use; none is not an overload.
     """
     if not states:
         return None
@@ -90,14 +91,14 @@
     return limit.seconds(demand.target_s)
 
 
-def _is_full(state: EngineState, demand: Demand) -> bool:
-    """Return whether an engine has too many requests for another of a priority."""
+def _is_full(state: EndpointState, demand: Demand) -> bool:
+    """Return whether an endpoint has too many requests for another of a priority."""
     fullest = FULLEST_BY_PRIORITY[_rank(demand.priority, len(FULLEST_BY_PRIORITY))]
     return state.in_flight >= fullest * state.entry.slots
 
 
-def _is_behind(state: EngineState, demand: Demand) -> bool:
-    """Return whether an engine would begin to read a prompt too late for it."""
+def _is_behind(state: EndpointState, demand: Demand) -> bool:
+    """Return whether an endpoint would begin to read a prompt too late for it."""
     return state.backlog_s > longest_wait_s(demand)
 
 
--- a/packages/springbridge/springbridge/routing/prefix_cache.py
+++ b/packages/springbridge/springbridge/routing/prefix_cache.py
@@ -1,8 +1,8 @@
-"""An estimate of which prompt parts an engine keeps, from what this node sent there.
+"""An estimate of which prompt parts an endpoint keeps, from what this node sent there.
 
 A part counts as kept only if all parts before it are kept too, so that a part is named by the chain
-that leads to it. The least recently used give way, as at the engine. Other nodes' requests are not
-seen; the estimate is a hint for the choice of engine and nothing else.
+that leads to it. The least recently used give way, as at the endpoint. Other nodes' requests are
+not seen; the estimate is a hint for the choice of endpoint and nothing else.
 """
 
 from collections import OrderedDict
@@ -13,7 +13,7 @@
 
 
 class PrefixCache:
-    """Parts that an engine probably keeps, the least recently used first."""
+    """Parts that an endpoint probably keeps, the least recently used first."""
 
     def __init__(self, capacity: int = 0) -> None:
         """Keep the capacity in tokens; nothing is kept with a capacity of 0."""
@@ -26,7 +26,7 @@
         return self.kept_of(chain_of(parts))
 
     def kept_of(self, chain: Chain) -> int:
-        """Return the same for a chain that is looked up at many engines."""
+        """Return the same for a chain that is looked up at many endpoints."""
         tokens = 0
         for name, part in chain:
             if name not in self._parts:
@@ -35,7 +35,7 @@
         return tokens
 
     def note(self, parts: tuple[PromptPart, ...]) -> None:
-        """Note that the engine read a prompt."""
+        """Note that the endpoint read a prompt."""
         if not self.capacity:
             return
         for name, part in reversed(chain_of(parts)):
--- a/packages/springbridge/springbridge/routing/reading_speed.py
+++ b/packages/springbridge/springbridge/routing/reading_speed.py
@@ -1,8 +1,8 @@
-"""How fast an engine reads prompts, learnt from what it read while it had more to read.
+"""How fast an endpoint reads prompts, learnt from what it read while it had more to read.
 
-What the operators say of an engine does not name its speed, engines of one service differ, and what
-runs beside a prompt slows its reading. Only tokens that were read while there was a backlog count:
-an engine that waits for work says nothing of its speed.
+What the operators say of an endpoint does not name its speed, endpoints of one service differ, and
+what runs beside a prompt slows its reading. Only tokens that were read while there was a backlog
+count: an endpoint that waits for work says nothing of its speed.
 """
 
 USUAL_TOKENS_PER_S = 40_000.0
@@ -14,7 +14,7 @@
 
 
 class ReadingSpeed:
-    """A running estimate for one engine.
+    """A running estimate for one endpoint.
 
     Attributes:
       tokens_per_s: The estimate.
--- a/packages/springbridge/springbridge/routing/records.py
+++ b/packages/springbridge/springbridge/routing/records.py
@@ -1,4 +1,4 @@
-"""Records of routing by host and path: the configuration, the engines and a request's facts.
+"""Records of routing by host and path: the configuration, the endpoints and a request's facts.
 
 All are frozen; the functions over them live in the other modules of this package. Names that end
 in _s hold seconds, and moments are seconds of the node's monotonic clock.
@@ -25,12 +25,12 @@
       path_prefix: Begins and ends with a slash; the longest that fits a path wins.
       streaming: The answer is a series of events.
       repeatable: A request may run more than once.
-      resumable: A broken stream may go on at another engine.
+      resumable: A broken stream may go on at another endpoint.
       timeout_s: Longest time for which a request is held.
       target_s: Time to the first event, or to the answer, that the operators aim at.
       pause_s: Longest pause between events that the operators aim at; 0 where unknown.
       priority: Rank of the route, 0 first.
-      max_engines: Largest number of engines to which one request may be sent.
+      max_engines: Largest number of endpoints to which one request may be sent.
       needs_key: Whether a caller has to show a customer's key.
     """
 
@@ -45,18 +45,18 @@
     target_s: float = 1.0
     pause_s: float = 0.0
     priority: int = NO_PRIORITY
-    max_engines: int = 1
+    max_endpoints: int = 1
     needs_key: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A kind of engine.
+    """A kind of endpoint.
 
     Attributes:
-      max_connections: Connections that one engine takes from all nodes together.
+      max_connections: Connections that one endpoint takes from all nodes together.
       token_capacity: Tokens of running requests and cached prompts that fit; 0 for plain services.
-      fetches: Whether an engine can take what another keeps of a prompt.
+      fetches: Whether an endpoint can take what another keeps of a prompt.
     """
 
     name: str
@@ -97,23 +97,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineEntry:
-    """One incarnation of an engine, as the platform's list has it."""
+class EndpointEntry:
+    """One incarnation of an endpoint, as the platform's list has it."""
 
-    engine_id: str
+    endpoint_id: str
     service: str
     address: str
-    place: str
+    failure_domain: str
     slots: int
     draining: bool
 
 
 @dataclass(frozen=True, slots=True)
-class EngineListing:
-    """The platform's list of engines as of one revision; revisions only ever grow."""
+class EndpointSnapshot:
+    """The platform's list of endpoints as of one revision; revisions only ever grow."""
 
     revision: int
-    entries: tuple[EngineEntry, ...]
+    entries: tuple[EndpointEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,18 +171,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What the choice of an engine has to know of a request.
+    """What the choice of an endpoint has to know of a request.
 
     Attributes:
-      place: Failure domain of the instance that will send it.
+      failure_domain: Failure domain of the instance that will send it.
       priority: Rank of its route, 0 first.
       target_s: Time to the first event that the operators aim at.
-      fetches: Whether an engine of the service can take what another keeps of a prompt.
+      fetches: Whether an endpoint of the service can take what another keeps of a prompt.
     """
 
     request_id: str
     service: str
-    place: str
+    failure_domain: str
     priority: int
     target_s: float
     prompt_tokens: int = 0
@@ -190,13 +190,13 @@
     fetches: bool = False
 
     @classmethod
-    def from_admitted(cls, admitted: Admitted, place: str) -> "Demand":
+    def from_admitted(cls, admitted: Admitted, failure_domain: str) -> "Demand":
         """Return what an admitted request demands at an instance of a failure domain."""
         arrival = admitted.arrival
         return cls(
             request_id=arrival.request_id,
             service=admitted.service.name,
-            place=place,
+            failure_domain=failure_domain,
             priority=admitted.route.priority,
             target_s=admitted.route.target_s,
             prompt_tokens=arrival.prompt_tokens,
--- a/packages/springbridge/springbridge/routing/selection_test.py
+++ b/packages/springbridge/springbridge/routing/selection_test.py
@@ -11,32 +11,32 @@
 PROMPT = (("shared", 300), ("own", 900))
 
 
-def fill(board, count):
-    for state in board.candidates(MODEL, ()):
+def fill(registry, count):
+    for state in registry.candidates(MODEL, ()):
         for number in range(count):
-            name = f"{state.entry.engine_id}-{number}"
-            board.take_notice(LoadNotice(LoadPhase.STARTED, name, state.entry.engine_id))
+            name = f"{state.entry.endpoint_id}-{number}"
+            registry.take_notice(LoadNotice(LoadPhase.STARTED, name, state.entry.endpoint_id))
 
 
-def test_an_engine_that_was_tried_is_left_out(engines):
+def test_an_engine_that_was_tried_is_left_out(endpoints):
     tried = {"e0", "e1", "e2", "e3"}
-    selection = select(engines, make_demand(PROMPT), tried, least_in_flight)
-    assert_that(selection.choice.state.entry.engine_id, Equals("e4"))
+    selection = select(endpoints, make_demand(PROMPT), tried, least_in_flight)
+    assert_that(selection.choice.state.entry.endpoint_id, Equals("e4"))
 
 
-def test_without_engines_there_is_no_choice(engines):
+def test_without_engines_there_is_no_choice(endpoints):
     demand = make_demand(PROMPT, service="other")
-    assert_that(select(engines, demand, (), least_in_flight), Equals(Selection(None)))
+    assert_that(select(endpoints, demand, (), least_in_flight), Equals(Selection(None)))
 
 
-def test_the_least_urgent_is_refused_while_all_engines_are_too_full(engines):
-    fill(engines, 40)
-    refused = select(engines, make_demand(PROMPT, priority=2), (), least_in_flight)
-    urgent = select(engines, make_demand(PROMPT, priority=0), (), least_in_flight)
+def test_the_least_urgent_is_refused_while_all_engines_are_too_full(endpoints):
+    fill(endpoints, 40)
+    refused = select(endpoints, make_demand(PROMPT, priority=2), (), least_in_flight)
+    urgent = select(endpoints, make_demand(PROMPT, priority=0), (), least_in_flight)
     assert_that((refused.overload.in_flight, urgent.overload), Equals((40, None)))
 
 
-def test_a_request_that_was_sent_once_is_not_refused_for_overload(engines):
-    fill(engines, 40)
-    selection = select(engines, make_demand(PROMPT, priority=2), {"e0"}, least_in_flight)
+def test_a_request_that_was_sent_once_is_not_refused_for_overload(endpoints):
+    fill(endpoints, 40)
+    selection = select(endpoints, make_demand(PROMPT, priority=2), {"e0"}, least_in_flight)
     assert_that(selection.overload, Equals(None))
