--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -1,8 +1,8 @@
 """Embeds the library without the daemon: membership, scheduling and limits in one small program.
 
-Three nodes find each other, agree without a message on who schedules an engine, and admit requests
-under a limit that holds for their sum. The messages are plain records, so any transport can carry
-them; here they are handed over directly.
+Three nodes find each other, agree without a message on who schedules an endpoint, and admit
+requests under a limit that holds for their sum. The messages are plain records, so any transport
+can carry them; here they are handed over directly.
 """
 
 import random
@@ -50,7 +50,7 @@
         ask = Ask(
             ask_id=f"ask-{number}",
             node="alpha",
-            engine="engine-1",
+            endpoint="engine-1",
             request_class="questions",
             customer="library",
             tier=Tier.URGENT,
--- a/packages/springbridge-ctl/springbridge_ctl/main.py
+++ b/packages/springbridge-ctl/springbridge_ctl/main.py
@@ -186,13 +186,13 @@
 
 @app.command()
 def order(
-    engine: Annotated[str, typer.Argument(help="Name of the engine.")],
+    endpoint: Annotated[str, typer.Argument(metavar="ENGINE", help="Name of the endpoint.")],
     kind: Annotated[str, typer.Argument(help="load, unload or role.")],
     argument: Annotated[str, typer.Argument(help="The model, adapter or role.")],
     node: NodeOption,
     token: TokenOption,
 ) -> None:
-    """Give an order to an engine under a fenced lease."""
-    body = {"engine": engine, "order": kind, "argument": argument}
+    """Give an order to an endpoint under a fenced lease."""
+    body = {"engine": endpoint, "order": kind, "argument": argument}
     answer = unwrap(Operator(node, token, "").post("/operator/orders", body))
     typer.echo(f"taken under epoch {answer['epoch']}")
--- a/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
@@ -71,7 +71,7 @@
 
 def test_refused_id_is_refused_for_ever_and_everywhere(run, shared_world):
     async def scenario():
-        addresses = [cells["address"] for cells in shared_world.engines("service").values()]
+        addresses = [cells["address"] for cells in shared_world.endpoints("service").values()]
         for address in addresses:
             await shared_world.fault(address, refuse=True)
         request_id = await homed_id(shared_world, "node-2")
@@ -128,7 +128,7 @@
     """A service keeps no answers: the outcome is unknown, never "not run", and it ran once."""
 
     async def scenario():
-        for cells in world.engines("service").values():
+        for cells in world.endpoints("service").values():
             await world.fault(cells["address"], delay_s=1.0)
         request_id = await homed_id(world, "node-1")
         call = call_of("claim-booking", request_id=request_id, service="claims-application")
@@ -168,7 +168,7 @@
     """The call ran and its reply was lost: the outcome is unknown and it is not run again."""
 
     async def scenario():
-        for cells in world.engines("service").values():
+        for cells in world.endpoints("service").values():
             await world.fault(cells["address"], cut=True)
         request_id = await homed_id(world, "node-1")
         call = call_of("claim-booking", request_id=request_id, service="claims-application")
@@ -185,7 +185,7 @@
         call = call_of("claim-answers", LONG, request_id=request_id)
         first = send(world, "node-1", call)
         await started(world, request_id)
-        for cells in world.engines("model").values():
+        for cells in world.endpoints("model").values():
             await world.fault(cells["address"], crash=1.0)
         reply = await first
         again = await send(world, "node-2", call)
--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -1,4 +1,4 @@
-"""Requests that run at an engine: checked before their body is read, admitted, started."""
+"""Requests that run at an endpoint: checked before their body is read, admitted, started."""
 
 import asyncio
 import secrets
@@ -7,8 +7,8 @@
 
 from returns.result import Failure, Success
 from springbridge.classes import request_ids
-from springbridge.classes.entities import Engine, Request
-from springbridge.classes.placement import allowed_engines
+from springbridge.classes.entities import Endpoint, Request
+from springbridge.classes.placement import allowed_endpoints
 from springbridge.classes.request_ids import RequestId
 from springbridge.codes import Code
 from springbridge.problems import Problem
@@ -26,7 +26,7 @@
 
 @stream_request_body
 class WorkHandler(CallerHandler):
-    """A request that runs at an engine; it is checked before its body is read."""
+    """A request that runs at an endpoint; it is checked before its body is read."""
 
     def prepare(self) -> None:
         """Refuse what need not be read, and give the sender a time for the rest."""
@@ -148,7 +148,9 @@
             affinity=admitted.affinity,
         )
         bound = not admitted.repeatable
-        work = Work(request, bytes(self.body), path, self._engines(admitted), bound, self.arrived_s)
+        work = Work(
+            request, bytes(self.body), path, self._endpoints(admitted), bound, self.arrived_s
+        )
         if bound:
             match self.node.home.serve(work, request_id, admitted.owner):
                 case Failure(problem):
@@ -167,19 +169,19 @@
         text = request_ids.prefix(me, now_s) + secrets.token_hex(8)
         return RequestId(text, me, int(now_s))
 
-    def _engines(self, admitted: Admitted) -> Callable[[], tuple[Engine, ...]]:
-        """Return what finds the engines that the request may use under the table in force."""
+    def _endpoints(self, admitted: Admitted) -> Callable[[], tuple[Endpoint, ...]]:
+        """Return what finds the endpoints that the request may use under the table in force."""
 
-        def engines() -> tuple[Engine, ...]:
+        def endpoints() -> tuple[Endpoint, ...]:
             table = self.node.config.table
             request_class = table.classes.get(admitted.request_class.name)
             customer = table.customers.get(admitted.customer.name)
             if request_class is None or customer is None:
                 return ()
             failure_domains = request_class.failure_domains & customer.failure_domains
-            return allowed_engines(table, request_class, failure_domains)
+            return allowed_endpoints(table, request_class, failure_domains)
 
-        return engines
+        return endpoints
 
     def note_end(self, admitted: Admitted, problem: Problem | None) -> None:
         """Log and count how the request ended."""
--- a/packages/springbridge-node/springbridge_node/class_router/callers_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers_test.py
@@ -87,13 +87,13 @@
     run, shared_world, garble, request_class
 ):
     async def scenario():
-        engines = [cells["address"] for cells in shared_world.engines("model").values()]
-        for address in engines:
+        endpoints = [cells["address"] for cells in shared_world.endpoints("model").values()]
+        for address in endpoints:
             await shared_world.fault(address, garble=garble)
         call = call_of(request_class, 24)
         node = shared_world.nodes["node-2"]
         reply = await shared_world.caller.send(node.caller_address, call)
-        for address in engines:
+        for address in endpoints:
             await shared_world.fault(address, garble="")
         assert_that(reply.code is Code.OK, Is(reply.whole))
         assert_that(reply.fate, Not(Equals("not run")))
@@ -118,7 +118,7 @@
         async def active():
             found = [
                 await counters_of(shared_world, cells["address"])
-                for cells in shared_world.engines("model").values()
+                for cells in shared_world.endpoints("model").values()
             ]
             return sum(counters["active"] for counters in found)
 
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -14,7 +14,7 @@
 from springbridge.classes.decisions import (
     Inventory,
 )
-from springbridge.classes.entities import EngineKind
+from springbridge.classes.entities import EndpointKind
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import InstanceList, TableStore
 from springbridge.classes.slots.slots import ScheduledSlots
@@ -26,15 +26,15 @@
 from springbridge_node.class_router.callers.http_app import make_application
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.config.editing import Editor, Orders
-from springbridge_node.class_router.engines.engine_http import (
+from springbridge_node.class_router.endpoints.endpoint_http import (
     ModelClient,
     ServiceClient,
     make_client,
 )
-from springbridge_node.class_router.engines.engine_roles import EngineRoles
-from springbridge_node.class_router.engines.load_reports import LoadReports
-from springbridge_node.class_router.engines.policies import slot_source
-from springbridge_node.class_router.engines.scheduler_host import TICK_S, SchedulerHost
+from springbridge_node.class_router.endpoints.engine_roles import EngineRoles
+from springbridge_node.class_router.endpoints.load_reports import LoadReports
+from springbridge_node.class_router.endpoints.policies import slot_source
+from springbridge_node.class_router.endpoints.scheduler_host import TICK_S, SchedulerHost
 from springbridge_node.class_router.node_parts import Services
 from springbridge_node.class_router.operators.operators_http import OperatorServices
 from springbridge_node.class_router.peers.message_intake import IntakeParts, MessageIntake
@@ -104,7 +104,7 @@
         """Wire what runs requests and serves operators."""
         http = make_client()
         model_client = ModelClient(http)
-        clients = {EngineKind.MODEL: model_client, EngineKind.SERVICE: ServiceClient(http)}
+        clients = {EndpointKind.MODEL: model_client, EndpointKind.SERVICE: ServiceClient(http)}
         bindings = Bindings(self.clock, time.time, self.invariants)
         answers = KeptAnswers(self.clock)
         self.load_reports = LoadReports(model_client, lambda: self.config.table)
@@ -191,7 +191,7 @@
         """Forget what other nodes own now and members that are long gone."""
         self.membership.forget_old()
         self.limits.tidy()
-        self.hosts.keep_only(lambda engine: self.roles.scheduler_of(engine) == self.incarnation)
+        self.hosts.keep_only(lambda endpoint: self.roles.scheduler_of(endpoint) == self.incarnation)
 
     # Membership.
 
--- a/packages/springbridge-node/springbridge_node/class_router/config/editing.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/editing.py
@@ -1,11 +1,11 @@
-"""Accepts changes of the operators' table and orders to engines, on behalf of an operator."""
+"""Accepts changes of the operators' table and orders to endpoints, on behalf of an operator."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import UTC, datetime
 
 from returns.result import Failure, Result, Success
-from springbridge.classes.entities import Engine
+from springbridge.classes.entities import Endpoint
 from springbridge.classes.ports import MOVED_ON, OrderKind, OrderLease, TableStore
 from springbridge.classes.table.changes import Change, Edit, Snapshot, check_edits
 from springbridge.codes import Code
@@ -14,7 +14,7 @@
 
 from springbridge_node import logs
 from springbridge_node.class_router.config.config_sync import ConfigSync
-from springbridge_node.class_router.engines.engine_http import ModelClient
+from springbridge_node.class_router.endpoints.endpoint_http import ModelClient
 
 COMMIT_TRIES = 5
 LEASE_MARGIN_S = 5.0
@@ -122,7 +122,7 @@
 
 
 class Orders:
-    """Gives orders to engines under a lease with an epoch in the platform's table."""
+    """Gives orders to endpoints under a lease with an epoch in the platform's table."""
 
     def __init__(self, store: TableStore, client: ModelClient, me: str, clock: Callable[[], float]):
         """Keep the ports and this node's incarnation, the holder of the leases."""
@@ -131,36 +131,38 @@
         self._me = me
         self._clock = clock
 
-    async def give(self, engine: Engine, kind: OrderKind, argument: str) -> Result[int, Problem]:
+    async def give(
+        self, endpoint: Endpoint, kind: OrderKind, argument: str
+    ) -> Result[int, Problem]:
         """Give an order and return the epoch under which it was taken.
 
-        An engine that checks tokens refuses a lower epoch by itself. For one that does not, the
+        An endpoint that checks tokens refuses a lower epoch by itself. For one that does not, the
         node takes the lease anew just before and gives the order only well inside it, and only
         orders that may be repeated: a role change is left to the operator.
         """
-        if not engine.checks_tokens and kind is OrderKind.ROLE:
+        if not endpoint.checks_tokens and kind is OrderKind.ROLE:
             detail = "the engine checks no tokens; change its role by hand"
-            return Failure(Problem(Code.ORDER_REFUSED, detail, engine.name))
+            return Failure(Problem(Code.ORDER_REFUSED, detail, endpoint.name))
         asked_s = self._clock()
-        match await self._store.take_lease(engine.name, self._me):
+        match await self._store.take_lease(endpoint.name, self._me):
             case Failure(problem):
                 return Failure(problem)
             case Success(lease):
                 pass
-        margin_s = 0.0 if engine.checks_tokens else LEASE_MARGIN_S
+        margin_s = 0.0 if endpoint.checks_tokens else LEASE_MARGIN_S
         if self._clock() - asked_s + margin_s > lease.valid_s:
             detail = "too little of the lease is left"
-            return Failure(Problem(Code.ORDER_REFUSED, detail, engine.name))
-        return await self._send(engine, kind, argument, lease)
+            return Failure(Problem(Code.ORDER_REFUSED, detail, endpoint.name))
+        return await self._send(endpoint, kind, argument, lease)
 
     async def _send(
-        self, engine: Engine, kind: OrderKind, argument: str, lease: OrderLease
+        self, endpoint: Endpoint, kind: OrderKind, argument: str, lease: OrderLease
     ) -> Result[int, Problem]:
         try:
-            taken, word = await self._client.order(engine, kind, argument, lease)
+            taken, word = await self._client.order(endpoint, kind, argument, lease)
         except (TimeoutError, OSError) as exc:
-            return Failure(Problem(Code.OUTCOME_UNKNOWN, type(exc).__name__, engine.name))
+            return Failure(Problem(Code.OUTCOME_UNKNOWN, type(exc).__name__, endpoint.name))
         if not taken:
-            return Failure(Problem(Code.ORDER_REFUSED, word, engine.name))
-        logs.event("order.taken", engine=engine.name, order=kind.value, epoch=lease.epoch)
+            return Failure(Problem(Code.ORDER_REFUSED, word, endpoint.name))
+        logs.event("order.taken", engine=endpoint.name, order=kind.value, epoch=lease.epoch)
         return Success(lease.epoch)
--- a/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
@@ -110,13 +110,13 @@
         row = await self._row(key)
         return row.bind(_claimed)
 
-    async def take_lease(self, engine: str, holder: str) -> Result[OrderLease, Problem]:
-        """Take or renew the lease for orders to an engine.
+    async def take_lease(self, endpoint: str, holder: str) -> Result[OrderLease, Problem]:
+        """Take or renew the lease for orders to an endpoint.
 
         The epoch grows with each change of holder. The lease is counted from before the write, and
         a write whose reply was lost counts as not taken: it ends by itself.
         """
-        key = LEASES + engine
+        key = LEASES + endpoint
         match await self._row(key):
             case Failure(problem):
                 return Failure(problem)
@@ -125,16 +125,16 @@
         now_s = self._wall_clock()
         held_by_other = current.get("holder") != holder and current.get("until_s", 0) > now_s
         if held_by_other:
-            return Failure(Problem(Code.ORDER_REFUSED, "the lease is taken", engine))
+            return Failure(Problem(Code.ORDER_REFUSED, "the lease is taken", endpoint))
         renews = current.get("holder") == holder and current.get("until_s", 0) > now_s
         epoch = current.get("epoch", 0) + (0 if renews else 1)
         value = {"holder": holder, "epoch": epoch, "until_s": now_s + ORDER_LEASE_S}
         match await self._transact({key: row.version}, {key: orjson.dumps(value).decode()}):
             case Success(True):
                 spent_s = self._wall_clock() - now_s
-                return Success(OrderLease(engine, holder, epoch, ORDER_LEASE_S - spent_s))
+                return Success(OrderLease(endpoint, holder, epoch, ORDER_LEASE_S - spent_s))
             case Success(_):
-                return Failure(Problem(Code.ORDER_REFUSED, "another took the lease", engine))
+                return Failure(Problem(Code.ORDER_REFUSED, "another took the lease", endpoint))
             case Failure(problem):
                 return Failure(problem)
 
--- a/packages/springbridge-node/springbridge_node/class_router/conftest.py
+++ b/packages/springbridge-node/springbridge_node/class_router/conftest.py
@@ -51,8 +51,8 @@
 
 
 async def executions(world: World, request_id: str) -> int:
-    """Return how often engines and services started a request."""
-    found = [await counters_of(world, cells["address"]) for cells in world.engines().values()]
+    """Return how often endpoints and services started a request."""
+    found = [await counters_of(world, cells["address"]) for cells in world.endpoints().values()]
     return sum(counters["started"].get(request_id, 0) for counters in found)
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/engines/engine_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/endpoint_http.py
@@ -1,7 +1,7 @@
 """Adapters for model engines and plain services, over HTTP.
 
-An engine streams server-sent events whose chunks carry the request id and the offset. It turns a
-job away before it starts with status 429 or 503 and the header ``Engine-Admitted: no``; only that
+An endpoint streams server-sent events whose chunks carry the request id and the offset. It turns a
+job away before it starts with status 429 or 503 and the header ``Endpoint-Admitted: no``; only that
 answer, or a connection that was refused, proves that the job did not start.
 """
 
@@ -10,8 +10,8 @@
 from collections.abc import AsyncIterator
 
 import orjson
-from springbridge.classes.entities import Engine
-from springbridge.classes.ports import EngineError, Job, NotAdmittedError, OrderKind, OrderLease
+from springbridge.classes.entities import Endpoint
+from springbridge.classes.ports import EndpointError, Job, NotAdmittedError, OrderKind, OrderLease
 from springbridge.classes.stream import Chunk
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 from tornado.netutil import Resolver
@@ -66,7 +66,7 @@
         try:
             chunks = [_read_event(line) for line in lines if _is_chunk(line)]
         except (ValueError, KeyError, TypeError) as exc:
-            self.queue.put_nowait(EngineError(f"unreadable event: {type(exc).__name__}"))
+            self.queue.put_nowait(EndpointError(f"unreadable event: {type(exc).__name__}"))
             return
         if chunks:
             self.queue.put_nowait(chunks)
@@ -88,7 +88,7 @@
         """Keep the HTTP client."""
         self._client = client
 
-    def run(self, engine: Engine, job: Job) -> AsyncIterator[Chunk]:
+    def run(self, endpoint: Endpoint, job: Job) -> AsyncIterator[Chunk]:
         """Start a job and yield its chunks."""
         body = orjson.dumps(
             {
@@ -99,32 +99,32 @@
                 "request": orjson.loads(job.body),
             }
         )
-        return self._stream(HTTPRequest(_url(engine, "/v1/generate"), method="POST", body=body))
+        return self._stream(HTTPRequest(_url(endpoint, "/v1/generate"), method="POST", body=body))
 
-    def resume(self, engine: Engine, request_id: str, offset: int) -> AsyncIterator[Chunk]:
-        """Yield the chunks of a job that the engine already has."""
+    def resume(self, endpoint: Endpoint, request_id: str, offset: int) -> AsyncIterator[Chunk]:
+        """Yield the chunks of a job that the endpoint already has."""
         path = f"/v1/streams/{request_id}?offset={offset}"
-        return self._stream(HTTPRequest(_url(engine, path)))
+        return self._stream(HTTPRequest(_url(endpoint, path)))
 
-    async def cancel(self, engine: Engine, request_id: str) -> None:
-        """Stop a job; failures are ignored, since the engine may be gone."""
-        url = _url(engine, f"/v1/streams/{request_id}/cancel")
+    async def cancel(self, endpoint: Endpoint, request_id: str) -> None:
+        """Stop a job; failures are ignored, since the endpoint may be gone."""
+        url = _url(endpoint, f"/v1/streams/{request_id}/cancel")
         request = HTTPRequest(url, method="POST", body=b"", request_timeout=SHORT_TIMEOUT_S)
         await self._client.fetch(request, raise_error=False)
 
-    async def reported_load(self, engine: Engine) -> float:
-        """Return the engine's load report, which lags."""
-        request = HTTPRequest(_url(engine, "/v1/load"), request_timeout=SHORT_TIMEOUT_S)
+    async def reported_load(self, endpoint: Endpoint) -> float:
+        """Return the endpoint's load report, which lags."""
+        request = HTTPRequest(_url(endpoint, "/v1/load"), request_timeout=SHORT_TIMEOUT_S)
         response = await self._client.fetch(request)
         return float(orjson.loads(response.body)["load"])
 
     async def order(
-        self, engine: Engine, kind: OrderKind, argument: str, lease: OrderLease
+        self, endpoint: Endpoint, kind: OrderKind, argument: str, lease: OrderLease
     ) -> tuple[bool, str]:
-        """Give an order under a lease and return whether it was taken, and the engine's word."""
+        """Give an order under a lease and return whether it was taken, and the endpoint's word."""
         body = orjson.dumps({"order": kind.value, "argument": argument, "epoch": lease.epoch})
         request = HTTPRequest(
-            _url(engine, "/v1/orders"), method="POST", body=body, request_timeout=SHORT_TIMEOUT_S
+            _url(endpoint, "/v1/orders"), method="POST", body=body, request_timeout=SHORT_TIMEOUT_S
         )
         response = await self._client.fetch(request, raise_error=False)
         return response.code == 200, response.body.decode(errors="replace")
@@ -157,10 +157,10 @@
         """Keep the HTTP client."""
         self._client = client
 
-    async def run(self, engine: Engine, job: Job) -> AsyncIterator[Chunk]:
+    async def run(self, endpoint: Endpoint, job: Job) -> AsyncIterator[Chunk]:
         """Call the service and yield its answer."""
         request = HTTPRequest(
-            _url(engine, job.path),
+            _url(endpoint, job.path),
             method="POST",
             body=job.body,
             headers={ID_HEADER: job.request_id},
@@ -176,29 +176,31 @@
         answered = response.headers.get(ID_HEADER, "")
         yield Chunk(answered, 0, 1, response.body.decode(errors="surrogateescape"), True)
 
-    async def resume(self, engine: Engine, request_id: str, offset: int) -> AsyncIterator[Chunk]:
+    async def resume(
+        self, endpoint: Endpoint, request_id: str, offset: int
+    ) -> AsyncIterator[Chunk]:
         """Fail: a plain service keeps no answers."""
-        raise EngineError("a plain service keeps no answers")
+        raise EndpointError("a plain service keeps no answers")
         yield  # Makes this an asynchronous generator.
 
-    async def cancel(self, engine: Engine, request_id: str) -> None:
+    async def cancel(self, endpoint: Endpoint, request_id: str) -> None:
         """Do nothing: a plain service cannot be stopped."""
 
 
-def _url(engine: Engine, path: str) -> str:
-    return f"http://{engine.address}{path}"
+def _url(endpoint: Endpoint, path: str) -> str:
+    return f"http://{endpoint.address}{path}"
 
 
 def _failure(fetch: "asyncio.Future") -> Exception | None:
     """Return what a finished fetch means for the job, None for success."""
     if fetch.cancelled():
-        return EngineError("cancelled")
+        return EndpointError("cancelled")
     exc = fetch.exception()
     if exc is None:
         return None
     if _proves_not_started(exc):
         return NotAdmittedError(str(exc))
-    return EngineError(f"{type(exc).__name__}: {exc}")
+    return EndpointError(f"{type(exc).__name__}: {exc}")
 
 
 def _proves_not_started(exc: BaseException) -> bool:
--- a/packages/springbridge-node/springbridge_node/class_router/engines/engine_roles.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/engine_roles.py
@@ -1,4 +1,4 @@
-"""Which node schedules each engine, by hashing over the live members."""
+"""Which node schedules each endpoint, by hashing over the live members."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 class EngineRoles:
-    """The schedulers of all engines, as of the last look at the members."""
+    """The schedulers of all endpoints, as of the last look at the members."""
 
     def __init__(
         self, config: ConfigSync, membership: Membership, changed: Callable[[], None]
@@ -18,7 +18,7 @@
         """Keep the parts.
 
         Args:
-          changed: Called when an engine's scheduler has changed.
+          changed: Called when an endpoint's scheduler has changed.
         """
         self._config = config
         self._membership = membership
@@ -26,19 +26,19 @@
         self._roles: dict[str, str | None] = {}
         self._roles_from: tuple[int, tuple[str, ...]] = (0, ())
 
-    def scheduler_of(self, engine: str) -> str | None:
-        """Return the incarnation that schedules an engine, None where nobody is known to."""
-        return self._roles.get(engine)
+    def scheduler_of(self, endpoint: str) -> str | None:
+        """Return the incarnation that schedules an endpoint, None where nobody is known to."""
+        return self._roles.get(endpoint)
 
     def check(self) -> None:
-        """Look at the members; move asks and slots when an engine's scheduler has changed."""
+        """Look at the members; move asks and slots when an endpoint's scheduler has changed."""
         live = tuple(sorted(self._membership.incarnations()))
         version = self._config.table.version
         if (version, live) == self._roles_from:
             return
         self._roles_from = (version, live)
-        engines = self._config.table.engines
-        roles = {name: owner(ROLE_PREFIX + name, live) for name in engines}
+        endpoints = self._config.table.endpoints
+        roles = {name: owner(ROLE_PREFIX + name, live) for name in endpoints}
         if roles != self._roles:
             self._roles = roles
             self._changed()
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/load_reports.py
@@ -0,0 +1,38 @@
+"""The endpoints' own load reports, which lag; only the least-load baseline uses them."""
+
+import asyncio
+from collections.abc import Callable
+
+from springbridge.classes.entities import Endpoint, EndpointKind, Table
+
+from springbridge_node.class_router.endpoints.endpoint_http import ModelClient
+
+POLL_S = 0.5
+
+
+class LoadReports:
+    """The last load report of each endpoint."""
+
+    def __init__(self, client: ModelClient, table: Callable[[], Table]):
+        """Start with no report."""
+        self._client = client
+        self._table = table
+        self._loads: dict[str, float] = {}
+
+    def load(self, endpoint: Endpoint) -> float:
+        """Return the last reported load of an endpoint; 0 where none came yet."""
+        return self._loads.get(endpoint.name, 0.0)
+
+    async def run(self) -> None:
+        """Read the reports until cancelled."""
+        while True:
+            endpoints = self._table().endpoints.values()
+            models = [endpoint for endpoint in endpoints if endpoint.kind is EndpointKind.MODEL]
+            await asyncio.gather(*(self._read(endpoint) for endpoint in models))
+            await asyncio.sleep(POLL_S)
+
+    async def _read(self, endpoint: Endpoint) -> None:
+        try:
+            self._loads[endpoint.name] = await self._client.reported_load(endpoint)
+        except Exception:
+            self._loads[endpoint.name] = float("inf")
--- a/packages/springbridge-node/springbridge_node/class_router/engines/policies.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
@@ -4,7 +4,7 @@
 from springbridge.classes.slots.baselines import LeastLoadSlots, RoundRobinSlots
 from springbridge.classes.slots.slots import ScheduledSlots
 
-from springbridge_node.class_router.engines.load_reports import LoadReports
+from springbridge_node.class_router.endpoints.load_reports import LoadReports
 
 
 def slot_source(policy: str, scheduled: ScheduledSlots, reports: LoadReports) -> SlotSource:
--- a/packages/springbridge-node/springbridge_node/class_router/engines/scheduler_host.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
@@ -1,4 +1,4 @@
-"""The schedulers that run on this node: one for each engine that the node is the owner of."""
+"""The schedulers that run on this node: one for each endpoint that the node is the owner of."""
 
 from collections.abc import Callable
 from functools import singledispatchmethod
@@ -29,7 +29,7 @@
         self._table = table
         self._send = send
         self.schedulers: dict[str, EngineScheduler] = {}
-        self._engine_of: dict[str, str] = {}
+        self._endpoint_of: dict[str, str] = {}
 
     def take(self, message: Ask | Hold | Inventory | Release | Sample) -> None:
         """Take in a message from an entry node."""
@@ -41,16 +41,16 @@
 
     @_take.register
     def _(self, ask: Ask) -> None:
-        scheduler = self._scheduler(ask.engine)
+        scheduler = self._scheduler(ask.endpoint)
         if scheduler is not None:
-            self._engine_of[ask.ask_id] = ask.engine
+            self._endpoint_of[ask.ask_id] = ask.endpoint
             self._carry(scheduler.ask(ask))
 
     @_take.register
     def _(self, hold: Hold) -> None:
-        scheduler = self._scheduler(hold.ask.engine)
+        scheduler = self._scheduler(hold.ask.endpoint)
         if scheduler is not None:
-            self._engine_of[hold.ask.ask_id] = hold.ask.engine
+            self._endpoint_of[hold.ask.ask_id] = hold.ask.endpoint
             scheduler.hold(hold.ask)
 
     @_take.register
@@ -60,13 +60,13 @@
 
     @_take.register
     def _(self, release: Release) -> None:
-        scheduler = self.schedulers.get(self._engine_of.pop(release.ask_id, ""))
+        scheduler = self.schedulers.get(self._endpoint_of.pop(release.ask_id, ""))
         if scheduler is not None:
             self._carry(scheduler.release(release))
 
     @_take.register
     def _(self, sample: Sample) -> None:
-        scheduler = self.schedulers.get(self._engine_of.get(sample.ask_id, ""))
+        scheduler = self.schedulers.get(self._endpoint_of.get(sample.ask_id, ""))
         if scheduler is not None:
             scheduler.sample(sample)
 
@@ -83,28 +83,28 @@
                     self._carry(scheduler.drop_node(node))
 
     def keep_only(self, owned: Callable[[str], bool]) -> None:
-        """Drop idle schedulers of engines that other nodes own now or that the table lost."""
-        for engine, scheduler in list(self.schedulers.items()):
+        """Drop idle schedulers of endpoints that other nodes own now or that the table lost."""
+        for endpoint, scheduler in list(self.schedulers.items()):
             idle = not scheduler.running and not len(scheduler.queue)
-            if idle and not owned(engine):
-                del self.schedulers[engine]
+            if idle and not owned(endpoint):
+                del self.schedulers[endpoint]
         live = set()
         for scheduler in self.schedulers.values():
             live |= scheduler.ask_ids()
-        self._engine_of = {ask: name for ask, name in self._engine_of.items() if ask in live}
+        self._endpoint_of = {ask: name for ask, name in self._endpoint_of.items() if ask in live}
 
-    def _scheduler(self, engine: str) -> EngineScheduler | None:
-        """Return the scheduler of an engine of the table."""
-        found = self.schedulers.get(engine)
+    def _scheduler(self, endpoint: str) -> EngineScheduler | None:
+        """Return the scheduler of an endpoint of the table."""
+        found = self.schedulers.get(endpoint)
         if found is not None:
             return found
-        record = self._table().engines.get(engine)
+        record = self._table().endpoints.get(endpoint)
         if record is None:
             return None
         found = EngineScheduler(
-            self._me, engine, record.token_capacity, self._clock, self._invariants
+            self._me, endpoint, record.token_capacity, self._clock, self._invariants
         )
-        self.schedulers[engine] = found
+        self.schedulers[endpoint] = found
         return found
 
     def _carry(self, decisions: list[Decision]) -> None:
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -16,7 +16,7 @@
 from springbridge_node import logs
 from springbridge_node.class_router.callers.caller_handler import JSON, describe
 from springbridge_node.class_router.config.editing import Editor, EditRequest, Orders
-from springbridge_node.class_router.engines.scheduler_host import SchedulerHost
+from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
 from springbridge_node.class_router.node_parts import Services
 from springbridge_node.class_router.peers.peer_links import PeerLinks
 
@@ -110,7 +110,7 @@
 
 
 class OrderHandler(OperatorHandler):
-    """Gives an order to an engine."""
+    """Gives an order to an endpoint."""
 
     async def post(self) -> None:
         """Give the order and answer with the epoch under which it was taken."""
@@ -118,11 +118,11 @@
             raw = orjson.loads(self.request.body)
             kind = OrderKind(raw["order"])
             argument = str(raw["argument"])
-            engine = self.services.node.config.table.engines[raw["engine"]]
+            endpoint = self.services.node.config.table.endpoints[raw["engine"]]
         except (ValueError, KeyError, TypeError):
             self.refuse([Problem(Code.BODY_MALFORMED, "engine, order and argument are needed")])
             return
-        match await self.services.orders.give(engine, kind, argument):
+        match await self.services.orders.give(endpoint, kind, argument):
             case Success(epoch):
                 self.reply({"epoch": epoch})
             case Failure(problem):
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -21,7 +21,7 @@
 from springbridge.membership import Membership
 
 from springbridge_node.class_router.config.config_sync import ConfigSync
-from springbridge_node.class_router.engines.scheduler_host import SchedulerHost
+from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
 from springbridge_node.class_router.peers.messages import (
     ConfigDelta,
     ConfigPull,
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
@@ -13,7 +13,12 @@
 
 # Names in peer.proto of record types and fields that are called otherwise in the code.
 WIRE_TYPES = {"SnapshotStatus": "ListingSeen"}
-WIRE_FIELDS = {"failure_domain": "place", "endpoint_snapshot": "listing", "fingerprint": "mark"}
+WIRE_FIELDS = {
+    "failure_domain": "place",
+    "endpoint_snapshot": "listing",
+    "fingerprint": "mark",
+    "endpoint": "engine",
+}
 
 
 def _snake(name: str) -> str:
--- a/packages/springbridge-node/springbridge_node/class_router/platform_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/platform_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 from returns.result import Failure, Success
-from springbridge.classes.entities import Engine, EngineKind
+from springbridge.classes.entities import Endpoint, EndpointKind
 from springbridge.classes.ports import OrderKind
 from springbridge.classes.table.changes import Change, Edit
 from springbridge.codes import Code
@@ -20,7 +20,7 @@
     HttpInstanceList,
     HttpTableStore,
 )
-from springbridge_node.class_router.engines.engine_http import ModelClient, make_client
+from springbridge_node.class_router.endpoints.endpoint_http import ModelClient, make_client
 
 ROW = "class/claims"
 CELLS = {"tier": "urgent"}
@@ -163,15 +163,15 @@
 
 
 @pytest.fixture
-def make_engine(run):
+def make_endpoint(run):
     """Return a function that starts an engine stand-in."""
     serving = []
 
     def make(checks_tokens):
         standin = ModelEngine(free_address(), checks_tokens)
         serving.append(run(_start(standin)))
-        engine = Engine("e", EngineKind.MODEL, standin.address, "p", "m", 1000, checks_tokens)
-        return standin, engine
+        endpoint = Endpoint("e", EndpointKind.MODEL, standin.address, "p", "m", 1000, checks_tokens)
+        return standin, endpoint
 
     yield make
     for task in serving:
@@ -186,40 +186,40 @@
 
 
 def test_order_of_a_paused_holder_is_refused_by_an_engine_that_checks(
-    run, store, wall_clock, make_engine
+    run, store, wall_clock, make_endpoint
 ):
     """The holder takes its lease, is paused, and sends the order when another has taken over."""
-    standin, engine = make_engine(True)
+    standin, endpoint = make_endpoint(True)
     paused = orders(run, store, "paused", wall_clock)
     stale = run(store.take_lease("e", "paused")).unwrap()
     wall_clock.now_s += ORDER_LEASE_S + 1
-    taken = run(orders(run, store, "other", wall_clock).give(engine, OrderKind.LOAD, "new"))
-    late = run(paused._send(engine, OrderKind.UNLOAD, "new", stale))
+    taken = run(orders(run, store, "other", wall_clock).give(endpoint, OrderKind.LOAD, "new"))
+    late = run(paused._send(endpoint, OrderKind.UNLOAD, "new", stale))
     assert_that(taken, Equals(Success(2)))
     assert_that(code_of(late), Is(Code.ORDER_REFUSED))
     assert_that([one["order"] for one in standin.orders], Equals(["load"]))
 
 
 def test_engine_that_does_not_check_gets_no_order_after_a_pause(
-    run, store, wall_clock, make_engine
+    run, store, wall_clock, make_endpoint
 ):
     """The holder is paused between lease and order: it notices by its own clock and gives none."""
-    standin, engine = make_engine(False)
+    standin, endpoint = make_endpoint(False)
     ticks = iter([0.0, ORDER_LEASE_S - 1.0])
     paused = orders(run, store, "paused", lambda: next(ticks))
-    late = run(paused.give(engine, OrderKind.LOAD, "old"))
+    late = run(paused.give(endpoint, OrderKind.LOAD, "old"))
     assert_that(code_of(late), Is(Code.ORDER_REFUSED))
     assert_that(standin.orders, HasLength(0))
 
 
-def test_engine_that_does_not_check_gets_no_role_change(run, store, wall_clock, make_engine):
-    _, engine = make_engine(False)
-    result = run(orders(run, store, "a", wall_clock).give(engine, OrderKind.ROLE, "prefill"))
+def test_engine_that_does_not_check_gets_no_role_change(run, store, wall_clock, make_endpoint):
+    _, endpoint = make_endpoint(False)
+    result = run(orders(run, store, "a", wall_clock).give(endpoint, OrderKind.ROLE, "prefill"))
     assert_that(code_of(result), Is(Code.ORDER_REFUSED))
 
 
-def test_engine_that_does_not_check_takes_plain_orders(run, store, wall_clock, make_engine):
-    standin, engine = make_engine(False)
-    result = run(orders(run, store, "a", wall_clock).give(engine, OrderKind.LOAD, "m"))
+def test_engine_that_does_not_check_takes_plain_orders(run, store, wall_clock, make_endpoint):
+    standin, endpoint = make_endpoint(False)
+    result = run(orders(run, store, "a", wall_clock).give(endpoint, OrderKind.LOAD, "m"))
     assert_that(result, Equals(Success(1)))
     assert_that(standin.orders, HasLength(1))
--- a/packages/springbridge-node/springbridge_node/class_router/requests/attempts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/attempts.py
@@ -5,7 +5,7 @@
 from enum import Enum, auto
 
 from springbridge.classes.decisions import Outcome, Sample
-from springbridge.classes.entities import Engine, EngineKind, Request
+from springbridge.classes.entities import Endpoint, EndpointKind, Request
 from springbridge.classes.stream import Chunk
 from springbridge.codes import Code, Fate
 from springbridge.problems import Problem
@@ -29,17 +29,17 @@
     """A request with what it takes to run it.
 
     Attributes:
-      engines: Returns the engines that the request may use under the table in force.
+      endpoints: Returns the endpoints that the request may use under the table in force.
       bound: Whether attempts are recorded at this home, as the request is not repeatable.
       wait_from_s: From when the present wait is counted.
-      started: Whether an engine may have worked on it.
+      started: Whether an endpoint may have worked on it.
       avoid: Engines that failed this request.
     """
 
     request: Request
     body: bytes
     path: str
-    engines: Callable[[], tuple[Engine, ...]]
+    endpoints: Callable[[], tuple[Endpoint, ...]]
     bound: bool
     wait_from_s: float
     attempts: int = 0
@@ -92,9 +92,9 @@
     progress.tokens += chunk.tokens
 
 
-def stall_s_of(request: Request, engine: Engine) -> float:
+def stall_s_of(request: Request, endpoint: Endpoint) -> float:
     """Return the silence after which an attempt counts as stalled."""
-    if engine.kind is EngineKind.SERVICE:
+    if endpoint.kind is EndpointKind.SERVICE:
         return SERVICE_STALL_S
     target_s = request.request_class.between_tokens_ms / 1000
     first_s = request.request_class.first_token_ms / 1000
@@ -106,7 +106,7 @@
     return {
         End.WHOLE: Outcome.DONE,
         End.PREEMPTED: Outcome.CANCELLED,
-        End.TURNED_AWAY: Outcome.ENGINE_REFUSED,
+        End.TURNED_AWAY: Outcome.ENDPOINT_REFUSED,
         End.BROKEN: Outcome.ENGINE_FAILED,
     }[end]
 
--- a/packages/springbridge-node/springbridge_node/class_router/requests/home.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/home.py
@@ -10,7 +10,7 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 from returns.result import Failure, Result, Success
 from springbridge.classes.binding import Bindings, Record, Stage
-from springbridge.classes.entities import EngineKind
+from springbridge.classes.entities import EndpointKind
 from springbridge.classes.ports import TableStore
 from springbridge.classes.request_ids import RequestId
 from springbridge.classes.stream import Chunk, StreamCheck
@@ -117,7 +117,7 @@
                 case Failure(failure):
                     problem = failure
                     if failure.code is Code.OUTCOME_UNKNOWN:
-                        problem = await self._ask_engines(work, answer)
+                        problem = await self._ask_endpoints(work, answer)
         finally:
             if not answer.ended:
                 self._bindings.finish(request_id.text, problem)
@@ -203,14 +203,14 @@
         self._send(ask.node, reply)
 
     async def _relay(self, home: str, work: Work, answer: Answer) -> Problem | None:
-        """Relay the answer from its home, and ask the engines if the home breaks off."""
+        """Relay the answer from its home, and ask the endpoints if the home breaks off."""
         member = self._membership.find(home)
         if member is not None:
             try:
                 return await self._attach(member.peer_address, home, answer)
             except (OSError, TimeoutError, GRPCError, StreamTerminatedError, ConnectionError):
                 pass
-        return await self._ask_engines(work, answer)
+        return await self._ask_endpoints(work, answer)
 
     async def _attach(self, address: str, home: str, answer: Answer) -> Problem | None:
         """Follow the answer at its home to its end."""
@@ -236,12 +236,12 @@
                         case Failure(problem):
                             return problem
 
-    async def _ask_engines(self, work: Work, answer: Answer) -> Problem | None:
-        """Look for the request's stream at the engines it may be on; never run it."""
-        for engine in work.engines():
-            if engine.kind is not EngineKind.MODEL:
+    async def _ask_endpoints(self, work: Work, answer: Answer) -> Problem | None:
+        """Look for the request's stream at the endpoints it may be on; never run it."""
+        for endpoint in work.endpoints():
+            if endpoint.kind is not EndpointKind.MODEL:
                 continue
-            if await self._runner.resume(engine, work.request, answer):
+            if await self._runner.resume(endpoint, work.request, answer):
                 return None
         return UNKNOWN
 
--- a/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
@@ -1,7 +1,7 @@
 """Runs a request to its end: slots, attempts, preemptions, retries and resumption.
 
-Work that may be repeated goes on at another engine from the offset that it reached. Work that may
-not be repeated is sent once; when its stream breaks, only the engine that has it is asked, by id.
+Work that may be repeated goes on at another endpoint from the offset that it reached. Work that may
+not be repeated is sent once; when its stream breaks, only the endpoint that has it is asked, by id.
 """
 
 import asyncio
@@ -10,11 +10,11 @@
 from returns.result import Failure, Success
 from springbridge.classes.binding import Bindings
 from springbridge.classes.decisions import Outcome
-from springbridge.classes.entities import Engine, EngineKind, Request
+from springbridge.classes.entities import Endpoint, EndpointKind, Request
 from springbridge.classes.ports import (
     Attempt,
-    EngineClient,
-    EngineError,
+    EndpointClient,
+    EndpointError,
     Job,
     NotAdmittedError,
     Slot,
@@ -46,12 +46,12 @@
 
 
 class Runner:
-    """Runs requests against engines through a slot source."""
+    """Runs requests against endpoints through a slot source."""
 
     def __init__(
         self,
         slots: SlotSource,
-        clients: dict[EngineKind, EngineClient],
+        clients: dict[EndpointKind, EndpointClient],
         bindings: Bindings,
         clock: Callable[[], float],
     ):
@@ -99,11 +99,11 @@
                 return problem
 
     def _attempt_for(self, work: Work) -> Attempt:
-        """Return what to ask a slot for, without engines that failed this request if others are."""
-        engines = work.engines()
-        rest = tuple(engine for engine in engines if engine.name not in work.avoid)
+        """Return what to ask a slot for, without those that failed it if others are."""
+        endpoints = work.endpoints()
+        rest = tuple(endpoint for endpoint in endpoints if endpoint.name not in work.avoid)
         resumable = work.request.repeatable and work.preemptions < MAX_PREEMPTIONS
-        return Attempt(work.request, rest or engines, self._wait_left_s(work), resumable)
+        return Attempt(work.request, rest or endpoints, self._wait_left_s(work), resumable)
 
     def _wait_left_s(self, work: Work) -> float:
         waited_s = self._clock() - work.wait_from_s
@@ -124,16 +124,16 @@
             work.preemptions += 1
             work.wait_from_s = self._clock()
             return None
-        work.avoid.add(slot.engine.name)
+        work.avoid.add(slot.endpoint.name)
         if end is End.TURNED_AWAY:
             work.refused_attempts += 1
             if work.refused_attempts >= MAX_REFUSED_ATTEMPTS:
                 return after_start(work, Problem(Code.NO_ENGINE, retry_after_s=1.0))
             return None
         if not work.request.repeatable:
-            return Problem(Code.OUTCOME_UNKNOWN, "the engine's stream broke", slot.engine.name)
+            return Problem(Code.OUTCOME_UNKNOWN, "the engine's stream broke", slot.endpoint.name)
         if not self._budget.try_retry():
-            return Problem(Code.ENGINE_FAILED, "no retry left in the budget", slot.engine.name)
+            return Problem(Code.ENGINE_FAILED, "no retry left in the budget", slot.endpoint.name)
         return None
 
     async def _attempt(self, work: Work, slot: Slot, answer: Answer) -> End:
@@ -147,13 +147,13 @@
             return end
         finally:
             if outcome is not Outcome.DONE and work.request.repeatable:
-                self._cancel_at_engine(work.job_id(), slot.engine)
+                self._cancel_at_endpoint(work.job_id(), slot.endpoint)
             self._slots.release(slot, outcome, progress.sample(slot.ask_id))
 
-    def _cancel_at_engine(self, job_id: str, engine: Engine) -> None:
-        """Stop the engine's work in the background."""
-        client = self._clients[engine.kind]
-        task = asyncio.ensure_future(client.cancel(engine, job_id))
+    def _cancel_at_endpoint(self, job_id: str, endpoint: Endpoint) -> None:
+        """Stop the endpoint's work in the background."""
+        client = self._clients[endpoint.kind]
+        task = asyncio.ensure_future(client.cancel(endpoint, job_id))
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
 
     async def _run_watched(self, work: Work, slot: Slot, answer: Answer, progress: Progress) -> End:
@@ -176,7 +176,7 @@
             if work.bound:
                 self._bindings.undo_dispatch(work.request.request_id)
             return End.TURNED_AWAY
-        except EngineError:
+        except EndpointError:
             return await self._after_break(work, slot, answer)
         finally:
             for watcher in watchers:
@@ -189,7 +189,7 @@
 
     async def _watch_stall(self, work: Work, slot: Slot, progress: Progress, pump) -> None:
         """Report samples now and then, and stop an attempt that brings nothing for long."""
-        stall_s = stall_s_of(work.request, slot.engine)
+        stall_s = stall_s_of(work.request, slot.endpoint)
         reported_s = progress.started_s
         while True:
             await asyncio.sleep(WATCH_INTERVAL_S)
@@ -208,7 +208,7 @@
         if work.bound:
             match self._bindings.begin_dispatch(request.request_id):
                 case Failure(problem):
-                    raise EngineError(problem.sentence())
+                    raise EndpointError(problem.sentence())
         job = Job(
             work.job_id(),
             int(request.request_class.tier),
@@ -217,10 +217,12 @@
             work.body,
             work.path,
         )
-        client = self._clients[slot.engine.kind]
+        client = self._clients[slot.endpoint.kind]
         work.started = True
         try:
-            return await self._read(client.run(slot.engine, job), job.request_id, answer, progress)
+            return await self._read(
+                client.run(slot.endpoint, job), job.request_id, answer, progress
+            )
         except NotAdmittedError:
             work.started = answer.offset > 0 or work.preemptions > 0
             raise
@@ -237,36 +239,36 @@
         async for chunk in chunks:
             match check.accept(chunk):
                 case Failure(problem):
-                    raise EngineError(problem.sentence())
+                    raise EndpointError(problem.sentence())
                 case Success(Chunk() as fresh):
                     note(progress, fresh, self._clock())
                     answer.add(fresh)
                     if fresh.last:
                         return End.WHOLE
-        raise EngineError(check.finish().failure().sentence())
+        raise EndpointError(check.finish().failure().sentence())
 
     async def _after_break(self, work: Work, slot: Slot, answer: Answer) -> End:
-        """Ask the engine to go on with a stream that broke, where the work may not be repeated."""
+        """Ask the endpoint to go on with a broken stream of work that may not be repeated."""
         if work.request.repeatable:
             return End.BROKEN
-        if await self.resume(slot.engine, work.request, answer):
+        if await self.resume(slot.endpoint, work.request, answer):
             return End.WHOLE
         return End.BROKEN
 
-    async def resume(self, engine: Engine, request: Request, answer: Answer) -> bool:
-        """Follow a job that an engine has by id; return whether the answer became whole."""
-        client = self._clients[engine.kind]
+    async def resume(self, endpoint: Endpoint, request: Request, answer: Answer) -> bool:
+        """Follow a job that an endpoint has by id; return whether the answer became whole."""
+        client = self._clients[endpoint.kind]
         for _ in range(RESUME_TRIES):
             progress = Progress(self._clock())
-            chunks = client.resume(engine, request.request_id, answer.offset)
+            chunks = client.resume(endpoint, request.request_id, answer.offset)
             reading = self._read(chunks, request.request_id, answer, progress)
-            stall_s = stall_s_of(request, engine)
+            stall_s = stall_s_of(request, endpoint)
             try:
                 await _with_stall(reading, progress, stall_s, self._clock)
                 return True
             except NotAdmittedError:
                 return False
-            except (EngineError, TimeoutError):
+            except (EndpointError, TimeoutError):
                 await asyncio.sleep(RESUME_PAUSE_S)
         return False
 
--- a/packages/springbridge-standins/springbridge_standins/demo.py
+++ b/packages/springbridge-standins/springbridge_standins/demo.py
@@ -56,7 +56,7 @@
     if not addresses:
         return Reply()
     chosen = addresses[-1]
-    targets = {cells["target"] for cells in world.engines("service").values()}
+    targets = {cells["target"] for cells in world.endpoints("service").values()}
     call = Call(
         key=key,
         request_class=request_class,
--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants.py
@@ -46,7 +46,7 @@
     Mutant(
         "resume by id after the home is lost",
         f"{NODE}/class_router/requests/home.py",
-        "if engine.kind is not EngineKind.MODEL:",
+        "if endpoint.kind is not EndpointKind.MODEL:",
         "if True:",
         f"{NODE}/class_router/at_most_once_test.py::test_home_lost_during_a_model_request",
     ),
@@ -122,7 +122,7 @@
     ),
     Mutant(
         "failing engines suspended",
-        f"{LIBRARY}/classes/engine_health.py",
+        f"{LIBRARY}/classes/endpoint_health.py",
         "        if now_s < self.suspended_until_s:\n            return 0",
         "        if False:\n            return 0",
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_failing_engine_is_suspended_and_probed_back",
@@ -207,7 +207,7 @@
     Mutant(
         "own clock before an order",
         f"{NODE}/class_router/config/editing.py",
-        "margin_s = 0.0 if engine.checks_tokens else LEASE_MARGIN_S",
+        "margin_s = 0.0 if endpoint.checks_tokens else LEASE_MARGIN_S",
         "margin_s = -1e9",
         f"{NODE}/class_router/platform_test.py::test_engine_that_does_not_check_gets_no_order_after_a_pause",
     ),
--- a/packages/springbridge-standins/springbridge_standins/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/soak.py
@@ -104,7 +104,7 @@
 async def judge(soak: Soak, load: Load) -> None:
     """Check what only the whole run shows."""
     executions = Counter()
-    for cells in soak.world.engines().values():
+    for cells in soak.world.endpoints().values():
         executions.update((await soak.world.counters(cells["address"]))["started"])
     fixed = {
         key.removeprefix("class/")
--- a/packages/springbridge-standins/springbridge_standins/soak_faults.py
+++ b/packages/springbridge-standins/springbridge_standins/soak_faults.py
@@ -77,7 +77,7 @@
 
 
 async def _engine_fault(soak: Soak, seconds: float, on: dict, off: dict) -> None:
-    cells = soak.rng.choice(list(soak.world.engines("model").values()))
+    cells = soak.rng.choice(list(soak.world.endpoints("model").values()))
     try:
         await soak.world.fault(cells["address"], **on)
         await asyncio.sleep(seconds)
--- a/packages/springbridge-standins/springbridge_standins/world.py
+++ b/packages/springbridge-standins/springbridge_standins/world.py
@@ -68,9 +68,9 @@
     @property
     def failure_domains(self) -> list[str]:
         """Return the failure domains that the table's engines stand in."""
-        return sorted({cells["place"] for cells in self.engines().values()})
+        return sorted({cells["place"] for cells in self.endpoints().values()})
 
-    def engines(self, kind: str = "") -> dict[str, Cells]:
+    def endpoints(self, kind: str = "") -> dict[str, Cells]:
         """Return the engine rows by name, of one kind or all."""
         return {
             key.removeprefix("engine/"): cells
@@ -265,9 +265,9 @@
     """Start the stand-ins and nodes."""
     await world.start_standin("platform", [world.platform])
     checking, blind = [], []
-    for cells in world.engines("model").values():
+    for cells in world.endpoints("model").values():
         (checking if cells["checks_tokens"] == "yes" else blind).append(cells["address"])
-    services = [cells["address"] for cells in world.engines("service").values()]
+    services = [cells["address"] for cells in world.endpoints("service").values()]
     for kind, addresses in (("engine", checking), ("blind-engine", blind), ("service", services)):
         if addresses:
             await world.start_standin(kind, addresses)
--- a/packages/springbridge/springbridge/classes/binding.py
+++ b/packages/springbridge/springbridge/classes/binding.py
@@ -42,7 +42,7 @@
     Attributes:
       owner: Customer and class of the first sender; a second sender must be the same.
       moved_to: Incarnation of the node that became home instead, in stage MOVED.
-      dispatches: Attempts that may have reached an engine and were not turned away by it.
+      dispatches: Attempts that may have reached an endpoint and were not turned away by it.
       problem: The final problem, where the request ended with one.
       fresh: Whether nobody has begun to work on the request.
       running: Attempts of a repeatable request that are under way.
@@ -115,7 +115,7 @@
         return self._records.get(request_id)
 
     def begin_dispatch(self, request_id: str) -> Result[None, Problem]:
-        """Record that an attempt is about to leave for an engine, or refuse it."""
+        """Record that an attempt is about to leave for an endpoint, or refuse it."""
         record = self._records[request_id]
         if record.stage is not Stage.WAITING:
             return Failure(record.problem or Problem(Code.OUTCOME_UNKNOWN))
@@ -125,7 +125,7 @@
         return Success(None)
 
     def undo_dispatch(self, request_id: str) -> None:
-        """Record that the engine turned the attempt away before it started."""
+        """Record that the endpoint turned the attempt away before it started."""
         record = self._records[request_id]
         record.stage = Stage.WAITING
         record.dispatches -= 1
--- a/packages/springbridge/springbridge/classes/decisions.py
+++ b/packages/springbridge/springbridge/classes/decisions.py
@@ -1,4 +1,4 @@
-"""Messages between an entry node and the scheduler of an engine.
+"""Messages between an entry node and the scheduler of an endpoint.
 
 They carry metadata only: a scheduler may stand in a place that must not see the content.
 """
@@ -11,23 +11,23 @@
 
 @dataclass(frozen=True)
 class Ask:
-    """An entry node asks for a slot at one engine.
+    """An entry node asks for a slot at one endpoint.
 
     Attributes:
       ask_id: Names this ask; unique over all nodes and attempts.
       node: Incarnation of the entry node.
-      fan: At how many engines the same attempt asks; its expected load is spread over them.
+      fan: At how many endpoints the same attempt asks; its expected load is spread over them.
       max_wait_s: Longest time the ask may still wait.
       target_s: What is left of the latency target for the first token.
       first_s: The whole latency target for the first token.
       between_s: Latency target for the mean time between tokens.
-      primary: Whether this engine was asked first; only there the ask preempts without delay.
+      primary: Whether this endpoint was asked first; only there the ask preempts without delay.
       preemptible: Whether the work may be stopped for a higher tier and run on elsewhere.
     """
 
     ask_id: str
     node: str
-    engine: str
+    endpoint: str
     request_class: str
     customer: str
     tier: Tier
@@ -48,7 +48,7 @@
     UNUSED = 0
     DONE = 1
     CANCELLED = 2
-    ENGINE_REFUSED = 3
+    ENDPOINT_REFUSED = 3
     ENGINE_FAILED = 4
 
 
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """The scheduler gives a slot; used_share tells how full the engine is now.
+    """The scheduler gives a slot; used_share tells how full the endpoint is now.
 
     The grant names the node that schedules, so that a slot which is no longer wanted can be given
     back to it, also if it was frozen and another node has taken its role over.
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True)
 class Queued:
-    """The ask waits; the entry node had better ask at other engines too."""
+    """The ask waits; the entry node had better ask at other endpoints too."""
 
     ask_id: str
     node: str
--- a/packages/springbridge/springbridge/classes/entities.py
+++ b/packages/springbridge/springbridge/classes/entities.py
@@ -16,8 +16,8 @@
     BULK = 2
 
 
-class EngineKind(Enum):
-    """What stands at an engine's address."""
+class EndpointKind(Enum):
+    """What stands at an endpoint's address."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -30,7 +30,7 @@
     Attributes:
       first_token_ms: Latency target for the first token, from arrival at the entry node.
       between_tokens_ms: Latency target for the mean time between tokens.
-      max_wait_ms: Longest time a request may wait for an engine before it is given up.
+      max_wait_ms: Longest time a request may wait for an endpoint before it is given up.
       repeatable: Whether a request of the class may be run more than once.
       target: The model or the service that serves the class.
     """
@@ -66,19 +66,19 @@
 
 
 @dataclass(frozen=True)
-class Engine:
-    """An engine or plain service that requests can be sent to.
+class Endpoint:
+    """An endpoint or plain service that requests can be sent to.
 
     Attributes:
       address: IP number and port, such as 127.0.0.1:9000.
-      failure_domain: Failure domain in which the engine stands.
+      failure_domain: Failure domain in which the endpoint stands.
       target: The model it has loaded or the service it offers.
       token_capacity: Tokens of prompt and answer that fit its memory at a time.
       checks_tokens: Whether it compares the fencing token of an order itself.
     """
 
     name: str
-    kind: EngineKind
+    kind: EndpointKind
     address: str
     failure_domain: str
     target: str
@@ -94,7 +94,7 @@
     classes: dict[str, RequestClass] = field(default_factory=dict)
     customers: dict[str, Customer] = field(default_factory=dict)
     shares: dict[tuple[str, str], Share] = field(default_factory=dict)
-    engines: dict[str, Engine] = field(default_factory=dict)
+    endpoints: dict[str, Endpoint] = field(default_factory=dict)
     keys: dict[str, str] = field(default_factory=dict)
 
 
--- a/packages/springbridge/springbridge/classes/placement.py
+++ b/packages/springbridge/springbridge/classes/placement.py
@@ -4,7 +4,7 @@
 
 from returns.result import Failure, Result, Success
 
-from springbridge.classes.entities import Customer, Engine, RequestClass, Table
+from springbridge.classes.entities import Customer, Endpoint, RequestClass, Table
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
@@ -23,14 +23,14 @@
     return Success(failure_domains)
 
 
-def allowed_engines(
+def allowed_endpoints(
     table: Table, request_class: RequestClass, failure_domains: Iterable[str]
-) -> tuple[Engine, ...]:
-    """Return the engines in the given places that serve the class, ordered by name."""
+) -> tuple[Endpoint, ...]:
+    """Return the endpoints in the given places that serve the class, ordered by name."""
     inside = frozenset(failure_domains)
     found = [
-        engine
-        for engine in table.engines.values()
-        if engine.target == request_class.target and engine.failure_domain in inside
+        endpoint
+        for endpoint in table.endpoints.values()
+        if endpoint.target == request_class.target and endpoint.failure_domain in inside
     ]
-    return tuple(sorted(found, key=lambda engine: engine.name))
+    return tuple(sorted(found, key=lambda endpoint: endpoint.name))
--- a/packages/springbridge/springbridge/classes/ports.py
+++ b/packages/springbridge/springbridge/classes/ports.py
@@ -8,7 +8,7 @@
 from returns.result import Result
 
 from springbridge.classes.decisions import Outcome, Sample
-from springbridge.classes.entities import Engine, Request
+from springbridge.classes.entities import Endpoint, Request
 from springbridge.classes.stream import Chunk
 from springbridge.classes.table.changes import Change, Snapshot
 from springbridge.codes import Code
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True)
 class OrderLease:
-    """The right to give orders to one engine.
+    """The right to give orders to one endpoint.
 
     Attributes:
       epoch: Fencing token; it grows with each change of holder.
       valid_s: Seconds, counted from before the write, for which the holder may act.
     """
 
-    engine: str
+    endpoint: str
     holder: str
     epoch: int
     valid_s: float
@@ -77,16 +77,16 @@
     async def claim(self, request_id: str, node: str) -> Result[str, Problem]:
         """Return the node that has the claim on an id without a home: the first to ask."""
 
-    async def take_lease(self, engine: str, holder: str) -> Result[OrderLease, Problem]:
-        """Take or renew the lease for orders to an engine, or return ORDER_REFUSED."""
+    async def take_lease(self, endpoint: str, holder: str) -> Result[OrderLease, Problem]:
+        """Take or renew the lease for orders to an endpoint, or return ORDER_REFUSED."""
 
 
 @dataclass(frozen=True)
 class Job:
-    """One attempt at an engine.
+    """One attempt at an endpoint.
 
     Attributes:
-      offset: Tokens of the answer that exist already; the engine goes on from there.
+      offset: Tokens of the answer that exist already; the endpoint goes on from there.
       prefix: Text of those tokens.
       body: What the caller sent.
       path: Path below the service, for plain services.
@@ -100,39 +100,39 @@
     path: str = ""
 
 
-class EngineClient(Protocol):
-    """One kind of engine or service."""
+class EndpointClient(Protocol):
+    """One kind of endpoint or service."""
 
-    def run(self, engine: Engine, job: Job) -> AsyncIterator[Chunk]:
+    def run(self, endpoint: Endpoint, job: Job) -> AsyncIterator[Chunk]:
         """Start a job and yield its chunks.
 
         Raises:
-          NotAdmittedError: The engine turned the job away before it started.
-          EngineError: Anything else went wrong; the job may have started.
+          NotAdmittedError: The endpoint turned the job away before it started.
+          EndpointError: Anything else went wrong; the job may have started.
         """
 
-    def resume(self, engine: Engine, request_id: str, offset: int) -> AsyncIterator[Chunk]:
-        """Yield the chunks of a job that the engine already has, from an offset on.
+    def resume(self, endpoint: Endpoint, request_id: str, offset: int) -> AsyncIterator[Chunk]:
+        """Yield the chunks of a job that the endpoint already has, from an offset on.
 
         Raises:
-          NotAdmittedError: The engine does not know the job.
-          EngineError: The engine cannot be asked.
+          NotAdmittedError: The endpoint does not know the job.
+          EndpointError: The endpoint cannot be asked.
         """
 
-    async def cancel(self, engine: Engine, request_id: str) -> None:
+    async def cancel(self, endpoint: Endpoint, request_id: str) -> None:
         """Stop a job; failures are ignored."""
 
 
 class NotAdmittedError(Exception):
-    """The engine certainly did not start the job."""
+    """The endpoint certainly did not start the job."""
 
 
-class EngineError(Exception):
+class EndpointError(Exception):
     """The job may have started; nothing more will come from this attempt."""
 
 
 class OrderKind(Enum):
-    """Orders that an engine takes from the operators."""
+    """Orders that an endpoint takes from the operators."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -141,10 +141,10 @@
 
 @dataclass(frozen=True)
 class Slot:
-    """The right to send one job to one engine."""
+    """The right to send one job to one endpoint."""
 
     ask_id: str
-    engine: Engine
+    endpoint: Endpoint
 
 
 @dataclass(frozen=True)
@@ -152,19 +152,19 @@
     """What a slot is wanted for.
 
     Attributes:
-      engines: All engines that the request may use.
+      endpoints: All endpoints that the request may use.
       wait_s: Longest time the attempt may wait.
       resumable: Whether the work may be preempted.
     """
 
     request: Request
-    engines: tuple[Engine, ...]
+    endpoints: tuple[Endpoint, ...]
     wait_s: float
     resumable: bool
 
 
 class SlotSource(Protocol):
-    """A policy: which engine serves an attempt, and when. There is one implementation a policy."""
+    """A policy: which endpoint serves an attempt, and when."""
 
     async def acquire(self, attempt: Attempt) -> Result[Slot, Problem]:
         """Wait for a slot, or return the problem that refuses the attempt."""
--- a/packages/springbridge/springbridge/classes/slots/__init__.py
+++ b/packages/springbridge/springbridge/classes/slots/__init__.py
@@ -1,1 +1,1 @@
-"""Which request gets a slot of an engine next: queues, schedulers and the limits of a batch."""
+"""Which request gets a slot of an endpoint next: queues, schedulers and the limits of a batch."""
--- a/packages/springbridge/springbridge/classes/slots/concurrency.py
+++ b/packages/springbridge/springbridge/classes/slots/concurrency.py
@@ -1,9 +1,9 @@
-"""How many requests an engine takes at a time, learnt from the latencies that entry nodes see.
+"""How many requests an endpoint takes at a time, learnt from the latencies that entry nodes see.
 
-Each tier has its own limit: the number in flight up to which the engine meets that tier's targets.
-An engine that runs a stream of a tier keeps to that tier's limit; one without urgent streams may
-fill up to what the lower tiers' looser targets allow, so throughput is not given away where nobody
-needs the speed.
+Each tier has its own limit: the number in flight up to which the endpoint meets that tier's
+targets. An endpoint that runs a stream of a tier keeps to that tier's limit; one without urgent
+streams may fill up to what the lower tiers' looser targets allow, so throughput is not given away
+where nobody needs the speed.
 
 A limit moves by additive increase and multiplicative decrease: a good sample near the limit adds
 one slot per round, more where the latency is far from the target; a sample above the target takes a
@@ -30,7 +30,7 @@
 
 @dataclass
 class TierLimit:
-    """The learnt limit of one tier at one engine."""
+    """The learnt limit of one tier at one endpoint."""
 
     limit: float = FIRST_LIMIT
     cool_until_s: float = 0.0
@@ -62,8 +62,8 @@
 
 
 @dataclass
-class EngineLimits:
-    """The learnt limits of one engine."""
+class EndpointLimits:
+    """The learnt limits of one endpoint."""
 
     tiers: dict[Tier, TierLimit] = field(
         default_factory=lambda: {tier: TierLimit() for tier in Tier}
@@ -87,5 +87,5 @@
         self.tiers[tier].learn(now_s, pressure, in_flight)
 
     def slots(self, now_s: float, tiers: set[Tier]) -> int:
-        """Return how many requests the engine takes if those of these tiers are to be in time."""
+        """Return how many requests the endpoint takes if those of these tiers are to be in time."""
         return min(self.tiers[tier].slots(now_s) for tier in tiers)
--- a/packages/springbridge/springbridge/classes/slots/fair_queue.py
+++ b/packages/springbridge/springbridge/classes/slots/fair_queue.py
@@ -1,4 +1,4 @@
-"""The order in which asks are served at one engine.
+"""The order in which asks are served at one endpoint.
 
 Tiers are strict. Inside a tier, customers and classes share by weight (start-time fair queueing:
 a flow's next start tag grows by cost over weight). A lower tier that was passed over
@@ -68,7 +68,7 @@
 
 
 class FairQueue:
-    """All waiting asks of one engine."""
+    """All waiting asks of one endpoint."""
 
     def __init__(self) -> None:
         self._tiers = {tier: TierQueue() for tier in Tier}
--- a/packages/springbridge/springbridge/classes/slots/minimum_share.py
+++ b/packages/springbridge/springbridge/classes/slots/minimum_share.py
@@ -1,4 +1,4 @@
-"""The slot that keeps lower tiers moving while the top tier alone overloads an engine.
+"""The slot that keeps lower tiers moving while the top tier alone overloads an endpoint.
 
 While top-tier requests are refused, nothing of a lower tier may wait. A lower-tier ask is then
 either refused at once or given one slot beyond the learnt limit; that slot goes to the class that
@@ -14,7 +14,7 @@
 
 @dataclass
 class MinimumShare:
-    """Who may use the extra slot of one engine."""
+    """Who may use the extra slot of one endpoint."""
 
     pressed_until_s: float = 0.0
     holder: str | None = None
--- a/packages/springbridge/springbridge/classes/slots/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -1,6 +1,6 @@
-"""The scheduler of one engine: who gets a slot, who waits, who is refused and who is preempted.
+"""The scheduler of one endpoint: who gets a slot, who waits, who is refused and who is preempted.
 
-One node schedules an engine, so the order of its queue and the count of its slots are exact
+One node schedules an endpoint, so the order of its queue and the count of its slots are exact
 whatever the lag of load reports. The scheduler sees metadata only. Its methods take the time and
 return decisions, which the node carries to the entry nodes.
 
@@ -9,7 +9,7 @@
   2. An ask that finds no slot in time for its latency target preempts lower-tier work.
   3. Before a top-tier ask is refused, all preemptible lower-tier work has been preempted and all
      waiting lower-tier asks have been refused; INVARIANT_TOP_TIER asserts that.
-  4. Work that may not be preempted never takes the last slot of an engine below the top tier.
+  4. Work that may not be preempted never takes the last slot of an endpoint below the top tier.
   5. An ask whose predicted wait is longer than it may wait is refused at once.
 """
 
@@ -43,12 +43,12 @@
 
 
 class EngineScheduler:
-    """Queue and slots of one engine."""
+    """Queue and slots of one endpoint."""
 
     def __init__(
         self,
         me: str,
-        engine: str,
+        endpoint: str,
         token_capacity: int,
         clock: Callable[[], float],
         invariants: Invariants,
@@ -57,11 +57,11 @@
 
         Args:
           me: Incarnation of the node that schedules.
-          token_capacity: Tokens of prompt and answer that the engine's memory holds.
+          token_capacity: Tokens of prompt and answer that the endpoint's memory holds.
           clock: Monotonic time in seconds.
         """
         self._me = me
-        self.engine = engine
+        self.endpoint = endpoint
         self.queue = FairQueue()
         self.slots = SlotAccount(self.queue, token_capacity, clock)
         self.running = self.slots.running
@@ -90,7 +90,7 @@
         return decisions
 
     def hold(self, ask: Ask) -> None:
-        """Take over a slot that the engine's former scheduler gave."""
+        """Take over a slot that the endpoint's former scheduler gave."""
         if ask.ask_id not in self.running:
             self.running[ask.ask_id] = Running(ask, self._clock(), self.slots.tokens(ask))
 
@@ -201,7 +201,7 @@
         if not victims:
             return None
         victim = max(victims, key=lambda run: (run.ask.tier, run.since_s))
-        self._invariants.check(INVARIANT_TIER_ORDER, victim.ask.tier > ask.tier, self.engine)
+        self._invariants.check(INVARIANT_TIER_ORDER, victim.ask.tier > ask.tier, self.endpoint)
         victim.stopping = True
         return Preemption(victim.ask.ask_id, victim.ask.node)
 
@@ -251,7 +251,7 @@
             run for run in self.running.values() if run.yields and run.ask.tier > Tier.URGENT
         ]
         holds = not waiting and not yielding
-        self._invariants.check(INVARIANT_TOP_TIER, holds, self.engine)
+        self._invariants.check(INVARIANT_TOP_TIER, holds, self.endpoint)
 
     # Giving slots.
 
@@ -288,7 +288,7 @@
     def _check_last_slot(self) -> None:
         """Assert that work which may not be preempted leaves a slot to the top tier."""
         holds = self.slots.fixed_below_top() < self.slots.beside_fixed()
-        self._invariants.check(INVARIANT_LAST_SLOT, holds, self.engine)
+        self._invariants.check(INVARIANT_LAST_SLOT, holds, self.endpoint)
 
     def _withdraw(self, ask_id: str, now_s: float) -> list[Decision]:
         """Take back an ask that still waits."""
--- a/packages/springbridge/springbridge/classes/slots/scheduler_test.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler_test.py
@@ -16,7 +16,7 @@
     Release,
     Sample,
 )
-from springbridge.classes.engine_health import FIRST_SUSPENSION_S
+from springbridge.classes.endpoint_health import FIRST_SUSPENSION_S
 from springbridge.classes.entities import Tier
 from springbridge.classes.slots.concurrency import NEAR_BELOW
 from springbridge.classes.slots.minimum_share import PRESSURE_S
--- a/packages/springbridge/springbridge/classes/slots/slot_account.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_account.py
@@ -1,4 +1,4 @@
-"""The slots of one engine: how many there are, which are in use, and what is learnt of them."""
+"""The slots of one endpoint: how many there are, which are in use, and what is learnt of them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,9 +9,9 @@
     Release,
     Sample,
 )
-from springbridge.classes.engine_health import EngineHealth
+from springbridge.classes.endpoint_health import EndpointHealth
 from springbridge.classes.entities import Tier
-from springbridge.classes.slots.concurrency import LATE_LIMIT, EngineLimits
+from springbridge.classes.slots.concurrency import LATE_LIMIT, EndpointLimits
 from springbridge.classes.slots.estimates import RunningMean, RunningQuantile
 from springbridge.classes.slots.fair_queue import FairQueue
 from springbridge.classes.slots.minimum_share import MinimumShare
@@ -36,11 +36,11 @@
 
 
 class SlotAccount:
-    """Slots of one engine.
+    """Slots of one endpoint.
 
     Attributes:
       running: The asks that hold a slot, by id.
-      limits: How many slots the engine bears beside each tier.
+      limits: How many slots the endpoint bears beside each tier.
       health: What its failures take away.
       share: The extra slot of the minimum share.
       service_s: Mean time for which a slot is held.
@@ -50,12 +50,12 @@
         """Start with all slots free.
 
         Args:
-          token_capacity: Tokens of prompt and answer that the engine's memory holds.
+          token_capacity: Tokens of prompt and answer that the endpoint's memory holds.
           clock: Monotonic time in seconds.
         """
         self.running: dict[str, Running] = {}
-        self.limits = EngineLimits()
-        self.health = EngineHealth()
+        self.limits = EndpointLimits()
+        self.health = EndpointHealth()
         self.share = MinimumShare()
         self.service_s = RunningMean(FIRST_SERVICE_S)
         self._queue = queue
@@ -70,8 +70,8 @@
     def for_tier(self, tier: Tier, now_s: float) -> int:
         """Return how many slots there are for a tier beside the tiers that run now.
 
-        An engine too slow for a tier has none for it, until an ask has waited so long that late is
-        better than never.
+        An endpoint too slow for a tier has none for it, until an ask has waited so long that late
+        is better than never.
         """
         present = {run.ask.tier for run in self.running.values()}
         slots = self.limits.slots(now_s, present | {tier})
@@ -88,7 +88,7 @@
         return self.used() < self.for_tier(tier, now_s)
 
     def fits(self, ask: Ask) -> bool:
-        """Return whether the ask fits the engine's memory and leaves the last slot."""
+        """Return whether the ask fits the endpoint's memory and leaves the last slot."""
         fixed = not ask.preemptible and ask.tier is not Tier.URGENT
         if fixed and self.fixed_below_top() + 1 >= self.beside_fixed():
             return False
@@ -121,7 +121,7 @@
 
     def learn_outcome(self, running: Running, release: Release, now_s: float) -> None:
         """Adjust health and estimates to how a slot ended."""
-        if release.outcome in (Outcome.ENGINE_FAILED, Outcome.ENGINE_REFUSED):
+        if release.outcome in (Outcome.ENGINE_FAILED, Outcome.ENDPOINT_REFUSED):
             self.health.failure(now_s)
         elif release.outcome is Outcome.DONE:
             self.health.success()
--- a/packages/springbridge/springbridge/classes/slots/slot_asks.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_asks.py
@@ -1,4 +1,4 @@
-"""What an attempt asks of schedulers, and which engines it prefers."""
+"""What an attempt asks of schedulers, and which endpoints it prefers."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 from springbridge.classes.decisions import (
     Ask,
 )
-from springbridge.classes.entities import Engine, Request, Tier
+from springbridge.classes.entities import Endpoint, Request, Tier
 from springbridge.classes.ports import Attempt, Slot
 from springbridge.hashing import ranking
 from springbridge.problems import Problem
@@ -51,13 +51,13 @@
 
     ask_id: str
     node: str
-    engine: Engine
+    endpoint: Endpoint
     fan: int
     primary: bool
 
 
 def ask_for(pending: Pending, terms: AskTerms, now_s: float) -> Ask:
-    """Return the ask of an attempt at one engine."""
+    """Return the ask of an attempt at one endpoint."""
     request = pending.attempt.request
     request_class = request.request_class
     first_s = request_class.first_token_ms / 1000
@@ -65,7 +65,7 @@
     return Ask(
         ask_id=terms.ask_id,
         node=terms.node,
-        engine=terms.engine.name,
+        endpoint=terms.endpoint.name,
         request_class=request_class.name,
         customer=request.customer,
         tier=request_class.tier,
@@ -82,7 +82,7 @@
 
 
 def preferred(request: Request, names: dict[str, float]) -> list[str]:
-    """Return the engines that a request prefers, the best first."""
+    """Return the endpoints that a request prefers, the best first."""
     if request.request_class.tier is Tier.URGENT:
         return ranking(URGENT_PREFERENCE, names)[:URGENT_PREFERRED]
     if request.affinity:
@@ -90,6 +90,6 @@
     return []
 
 
-def engine_named(attempt: Attempt, name: str) -> Engine:
-    """Return the attempt's engine of that name."""
-    return next(engine for engine in attempt.engines if engine.name == name)
+def endpoint_named(attempt: Attempt, name: str) -> Endpoint:
+    """Return the attempt's endpoint of that name."""
+    return next(endpoint for endpoint in attempt.endpoints if endpoint.name == name)
--- a/packages/springbridge/springbridge/classes/slots/slots.py
+++ b/packages/springbridge/springbridge/classes/slots/slots.py
@@ -1,9 +1,9 @@
 """The entry node's side of scheduling: ask for slots, take the first grant, give slots back.
 
-An attempt asks one engine first: of two candidates the emptier, as far as their last grants told.
+An attempt asks one endpoint first: of two candidates the emptier, as far as their last grants told.
 If that one has no slot at once, all the others are asked too and the first grant is taken (late
 binding; Ousterhout and others, Sparrow, SOSP 2013), so that no request is stranded behind a slow
-engine. A refusal is final only when every engine refused; until then it is asked again there.
+endpoint. A refusal is final only when every endpoint refused; until then it is asked again there.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
     Release,
     Sample,
 )
-from springbridge.classes.entities import Engine, Tier
+from springbridge.classes.entities import Endpoint, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import Attempt, Slot
 from springbridge.classes.slots.slot_asks import (
@@ -35,7 +35,7 @@
     Held,
     Pending,
     ask_for,
-    engine_named,
+    endpoint_named,
     preferred,
 )
 from springbridge.codes import Code
@@ -56,7 +56,7 @@
 
 
 class ScheduledSlots:
-    """The slot source that asks the schedulers of the engines."""
+    """The slot source that asks the schedulers of the endpoints."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
 
         Args:
           me: This node's incarnation.
-          route: Returns the incarnation that schedules an engine, or None.
+          route: Returns the incarnation that schedules an endpoint, or None.
           send: Sends a message to an incarnation; lost messages are sent again by resend.
         """
         self._me = me
@@ -88,7 +88,7 @@
 
     async def acquire(self, attempt: Attempt) -> Result[Slot, Problem]:
         """Wait for the first grant, or return the problem that refuses the attempt."""
-        if not attempt.engines:
+        if not attempt.endpoints:
             return Failure(Problem(Code.NO_ENGINE, retry_after_s=ASK_AGAIN_S))
         loop = asyncio.get_running_loop()
         pending = Pending(attempt, loop.create_future(), self._clock())
@@ -124,11 +124,11 @@
         """Repeat asks and slots to schedulers that took over or were reconnected."""
         for pending in {id(one): one for one in self._pending.values()}.values():
             for ask in list(pending.asks.values()):
-                self._leave(ask.ask_id, self._schedulers.get(ask.ask_id), ask.engine)
+                self._leave(ask.ask_id, self._schedulers.get(ask.ask_id), ask.endpoint)
                 self._send_ask(ask)
         for held in self._held.values():
-            self._leave(held.ask.ask_id, held.scheduler, held.ask.engine)
-            held.scheduler = self._route(held.ask.engine)
+            self._leave(held.ask.ask_id, held.scheduler, held.ask.endpoint)
+            held.scheduler = self._route(held.ask.endpoint)
             if held.scheduler is not None:
                 self._send(held.scheduler, Hold(held.ask))
 
@@ -143,9 +143,9 @@
                 found.setdefault(held.scheduler, []).append(ask_id)
         return found
 
-    def _leave(self, ask_id: str, scheduler: str | None, engine: str) -> None:
+    def _leave(self, ask_id: str, scheduler: str | None, endpoint: str) -> None:
         """Withdraw from a scheduler that another one has taken over from."""
-        if scheduler is not None and scheduler != self._route(engine):
+        if scheduler is not None and scheduler != self._route(endpoint):
             self._send_release(ask_id, scheduler)
 
     def take(self, decision: Decision) -> None:
@@ -163,18 +163,18 @@
             self._return_unused(grant)
             return
         ask = pending.asks.pop(grant.ask_id)
-        self._used_share[ask.engine, ask.tier] = grant.used_share
+        self._used_share[ask.endpoint, ask.tier] = grant.used_share
         self._schedulers.pop(grant.ask_id, None)
         self._held[grant.ask_id] = Held(ask, grant.scheduler)
-        engine = engine_named(pending.attempt, ask.engine)
-        pending.granted.set_result(Success(Slot(grant.ask_id, engine)))
+        endpoint = endpoint_named(pending.attempt, ask.endpoint)
+        pending.granted.set_result(Success(Slot(grant.ask_id, endpoint)))
 
     @_take.register
     def _(self, queued: Queued) -> None:
         pending = self._pending.get(queued.ask_id)
         if pending is not None:
             ask = pending.asks[queued.ask_id]
-            self._used_share[ask.engine, ask.tier] = 1.0
+            self._used_share[ask.endpoint, ask.tier] = 1.0
             self._ask_others(pending)
 
     @_take.register
@@ -184,8 +184,8 @@
             return
         ask = pending.asks.pop(refusal.ask_id)
         self._schedulers.pop(refusal.ask_id, None)
-        pending.refusals[ask.engine] = refusal.retry_after_s
-        self._used_share[ask.engine, ask.tier] = 1.0
+        pending.refusals[ask.endpoint] = refusal.retry_after_s
+        self._used_share[ask.endpoint, ask.tier] = 1.0
         self._ask_others(pending)
         if pending.asks:
             self._ask_again_later(pending, ask)
@@ -207,62 +207,65 @@
     def _send_release(self, ask_id: str, scheduler: str) -> None:
         self._send(scheduler, Release(ask_id, Outcome.UNUSED, Sample(ask_id, 0.0, 0.0, 0)))
 
-    def _choose_first(self, attempt: Attempt) -> Engine:
-        """Return the engine to ask first: by preference while that one has room, else the emptier.
+    def _choose_first(self, attempt: Attempt) -> Endpoint:
+        """Return the endpoint to ask first: by preference while that one has room, else the
+        emptier.
 
-        Urgent requests of all nodes prefer the same engines, so that the others need not keep to
-        the urgent targets; other requests prefer the engine that may have their prefix cached.
+        Urgent requests of all nodes prefer the same endpoints, so that the others need not keep to
+        the urgent targets; other requests prefer the endpoint that may have their prefix cached.
         """
         tier = attempt.request.request_class.tier
-        names = {engine.name: 1.0 for engine in attempt.engines}
+        names = {endpoint.name: 1.0 for endpoint in attempt.endpoints}
         for name in preferred(attempt.request, names):
             if self._used_share.get((name, tier), 0.0) < PREFERENCE_BOUND:
-                return engine_named(attempt, name)
-        two = self._rng.sample(attempt.engines, min(2, len(attempt.engines)))
-        return min(two, key=lambda engine: self._used_share.get((engine.name, tier), 0.0))
+                return endpoint_named(attempt, name)
+        two = self._rng.sample(attempt.endpoints, min(2, len(attempt.endpoints)))
+        return min(two, key=lambda endpoint: self._used_share.get((endpoint.name, tier), 0.0))
 
     def _ask_others(self, pending: Pending) -> None:
-        """Ask at the engines that were not asked yet: all while few, else a few at a time."""
+        """Ask at the endpoints that were not asked yet: all while few, else a few at a time."""
         if pending.granted.done():
             return
-        rest = [engine for engine in pending.attempt.engines if engine.name not in pending.asked]
-        if len(pending.attempt.engines) > ALL_WHILE_FEW and pending.asks:
+        rest = [
+            endpoint for endpoint in pending.attempt.endpoints if endpoint.name not in pending.asked
+        ]
+        if len(pending.attempt.endpoints) > ALL_WHILE_FEW and pending.asks:
             wanted = max(0, FIRST_FAN - len(pending.asks))
             rest = self._rng.sample(rest, min(wanted, len(rest)))
         fan = len(rest) + len(pending.asks)
-        for engine in rest:
-            self._ask(pending, engine, fan, primary=False)
+        for endpoint in rest:
+            self._ask(pending, endpoint, fan, primary=False)
 
-    def _ask(self, pending: Pending, engine: Engine, fan: int, primary: bool) -> None:
+    def _ask(self, pending: Pending, endpoint: Endpoint, fan: int, primary: bool) -> None:
         name = f"{self._me}/{next(self._numbers)}"
-        ask = ask_for(pending, AskTerms(name, self._me, engine, fan, primary), self._clock())
-        pending.asked.add(engine.name)
+        ask = ask_for(pending, AskTerms(name, self._me, endpoint, fan, primary), self._clock())
+        pending.asked.add(endpoint.name)
         pending.asks[ask.ask_id] = ask
         self._pending[ask.ask_id] = pending
         self._send_ask(ask)
 
     def _send_ask(self, ask: Ask) -> None:
-        scheduler = self._route(ask.engine)
+        scheduler = self._route(ask.endpoint)
         self._schedulers[ask.ask_id] = scheduler
         if scheduler is not None:
             self._send(scheduler, ask)
 
     def _ask_again_later(self, pending: Pending, ask: Ask) -> None:
-        """Ask again at an engine that refused while others have not."""
+        """Ask again at an endpoint that refused while others have not."""
         loop = asyncio.get_running_loop()
-        engine = engine_named(pending.attempt, ask.engine)
-        again = loop.call_later(ASK_AGAIN_S, self._ask_again, pending, engine)
+        endpoint = endpoint_named(pending.attempt, ask.endpoint)
+        again = loop.call_later(ASK_AGAIN_S, self._ask_again, pending, endpoint)
         pending.timers.append(again)
 
-    def _ask_again(self, pending: Pending, engine: Engine) -> None:
+    def _ask_again(self, pending: Pending, endpoint: Endpoint) -> None:
         if not pending.granted.done():
-            self._ask(pending, engine, len(pending.asks) + 1, primary=False)
+            self._ask(pending, endpoint, len(pending.asks) + 1, primary=False)
 
     def _refuse(self, pending: Pending) -> None:
-        """End an attempt that every engine refused."""
+        """End an attempt that every endpoint refused."""
         attempt = pending.attempt
         if attempt.request.request_class.tier is Tier.URGENT:
-            everywhere = pending.asked >= {engine.name for engine in attempt.engines}
+            everywhere = pending.asked >= {endpoint.name for endpoint in attempt.endpoints}
             self._invariants.check(INVARIANT_ASKED_EVERYWHERE, everywhere)
         retry_after_s = min(pending.refusals.values())
         problem = Problem(Code.OVERLOADED, retry_after_s=retry_after_s)
--- a/packages/springbridge/springbridge/classes/table/rows.py
+++ b/packages/springbridge/springbridge/classes/table/rows.py
@@ -14,8 +14,8 @@
 
 from springbridge.classes.entities import (
     Customer,
-    Engine,
-    EngineKind,
+    Endpoint,
+    EndpointKind,
     RequestClass,
     Share,
     Table,
@@ -99,7 +99,7 @@
 
 YES_NO = {"yes": True, "no": False}
 TIERS = {tier.name.lower(): tier for tier in Tier}
-KINDS = {kind.value: kind for kind in EngineKind}
+KINDS = {kind.value: kind for kind in EndpointKind}
 LONGEST_MS = 24 * 3600 * 1000
 
 
@@ -134,8 +134,8 @@
     )
 
 
-def _engine(parts: list[str], cells: Cells) -> Engine:
-    return Engine(
+def _endpoint(parts: list[str], cells: Cells) -> Endpoint:
+    return Endpoint(
         name=parts[1],
         kind=_choice(cells, "kind", KINDS),
         address=_word(cells, "address", ADDRESS),
@@ -146,12 +146,12 @@
     )
 
 
-Record = RequestClass | Customer | Share | Engine
+Record = RequestClass | Customer | Share | Endpoint
 PARSERS: dict[str, Callable[[list[str], Cells], Record]] = {
     "class": _class,
     "customer": _customer,
     "share": _share,
-    "engine": _engine,
+    "engine": _endpoint,
 }
 
 
@@ -204,8 +204,8 @@
             table.customers[record.name] = record
         case Share():
             table.shares[record.customer, record.request_class] = record
-        case Engine():
-            table.engines[record.name] = record
+        case Endpoint():
+            table.endpoints[record.name] = record
 
 
 def updated(table: Table, version: int, rows: Mapping[str, Cells | None]) -> Table:
@@ -218,7 +218,7 @@
         dict(table.classes),
         dict(table.customers),
         dict(table.shares),
-        dict(table.engines),
+        dict(table.endpoints),
         dict(table.keys),
     )
     for key, cells in rows.items():
@@ -237,7 +237,7 @@
         "class": table.classes,
         "customer": table.customers,
         "share": table.shares,
-        "engine": table.engines,
+        "engine": table.endpoints,
     }
     holders[kind].pop(tuple(names) if kind == "share" else names[0], None)
 
--- a/packages/springbridge/springbridge/classes/table/sheet_test.py
+++ b/packages/springbridge/springbridge/classes/table/sheet_test.py
@@ -8,7 +8,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, HasLength, Is
 
-from springbridge.classes.placement import allowed_engines, allowed_failure_domains
+from springbridge.classes.placement import allowed_endpoints, allowed_failure_domains
 from springbridge.classes.table import sheet
 from springbridge.classes.table.changes import (
     Change,
@@ -171,7 +171,7 @@
     table, _ = build(1, rows)
     claims, swan = table.classes["claim-answers"], table.customers["swan"]
     failure_domains = allowed_failure_domains(claims, swan).unwrap()
-    names = [engine.name for engine in allowed_engines(table, claims, failure_domains)]
+    names = [endpoint.name for endpoint in allowed_endpoints(table, claims, failure_domains)]
     assert_that(failure_domains, Equals(frozenset({"perth-a"})))
     assert_that(names, Equals(["matching-1", "matching-4"]))
 
--- a/packages/springbridge/springbridge/conftest.py
+++ b/packages/springbridge/springbridge/conftest.py
@@ -36,7 +36,7 @@
 PLAIN_ASK = Ask(
     ask_id="ask",
     node="node-1",
-    engine="engine-1",
+    endpoint="engine-1",
     request_class="claims",
     customer="findwell",
     tier=Tier.URGENT,
