--- /dev/null
+++ b/packages/springbridge/springbridge/routing/giving_up.py
@@ -0,0 +1,88 @@
+"""Giving up: the answer to a request that no further endpoint gets.
+
+What is decided: the problem that ends the request, and what its caller gets.
+Inputs: the request's route, its attempts so far and what stopped them; times in seconds.
+Outcome: a `Problem`, whose code says whether the request may have run, and a `FinalAnswer`.
+Why: a caller may send a request anew only if it knows that no endpoint has run it, so a refusal
+promises that and names a time to come back, and every other code promises nothing. An answer that
+has begun is cut off, so that a part never looks whole. An endpoint's own failure tells the caller
+more than ours.
+Measured: nothing here; the times to come back are in `retry_after`.
+"""
+
+from enum import Enum, auto
+from http import HTTPStatus
+
+from springbridge.codes import Code
+from springbridge.problems import Problem
+from springbridge.routing.overload import Overload
+from springbridge.routing.records import Route
+from springbridge.routing.retries import Attempts, End, is_repeatable
+from springbridge.routing.retry_after import when_endpoint_full, while_endpoints_restart
+
+
+class FinalAnswer(Enum):
+    """What the caller of a request that is given up gets."""
+
+    CUT_OFF = auto()
+    HELD_FAILURE = auto()
+    REFUSAL = auto()
+
+
+def final_answer(problem: Problem, answer_started: bool, failure_held: bool) -> FinalAnswer:
+    """Return what the caller gets.
+
+    Args:
+      problem: Why the request is given up.
+      answer_started: Whether the caller has got the beginning of an answer.
+      failure_held: Whether an endpoint's own failure was held back.
+    """
+    if answer_started:
+        return FinalAnswer.CUT_OFF
+    if failure_held and not problem.not_run:
+        return FinalAnswer.HELD_FAILURE
+    return FinalAnswer.REFUSAL
+
+
+def holds_failure(route: Route, status: int) -> bool:
+    """Return whether an endpoint's answer is held back, since another endpoint may do better.
+
+    Args:
+      status: HTTP status of the endpoint's answer.
+    """
+    return status >= HTTPStatus.INTERNAL_SERVER_ERROR and is_repeatable(route)
+
+
+def when_overloaded(overload: Overload) -> Problem:
+    """Return the refusal of a request whose endpoints all have too much for its priority."""
+    waits = f"backlog {overload.backlog_s:.2f} s, longest wait {overload.longest_wait_s:.2f} s"
+    detail = f"engines: least {waits}, least in flight {overload.in_flight}"
+    return Problem(Code.OVERLOADED, detail, retry_after_s=overload.retry_after_s)
+
+
+def after_failed_attempt(route: Route, attempts: Attempts, end: End) -> Problem:
+    """Return the problem of a request whose last attempt failed and that may not be sent again."""
+    if attempts.may_have_run:
+        return Problem(Code.ENGINE_FAILED, end.value)
+    return _turned_away(route, end.value)
+
+
+def without_endpoint(route: Route, attempts: Attempts) -> Problem:
+    """Return the problem of a request for which there is no endpoint, or no further one."""
+    if attempts.may_have_run:
+        return Problem(Code.ENGINE_FAILED, "no further engine")
+    if attempts.sends:
+        return _turned_away(route, "no further engine")
+    return Problem(Code.NO_ENGINE, "no engine", retry_after_s=while_endpoints_restart())
+
+
+def at_deadline(route: Route, attempts: Attempts) -> Problem:
+    """Return the problem of a request whose time is up."""
+    if attempts.may_have_run:
+        return Problem(Code.OUTCOME_UNKNOWN, "deadline")
+    return _turned_away(route, "deadline")
+
+
+def _turned_away(route: Route, detail: str) -> Problem:
+    """Return the refusal of a request that endpoints exist for, but that none has run."""
+    return Problem(Code.NO_ENGINE, detail, retry_after_s=when_endpoint_full(route.target_s))
--- a/packages/springbridge/springbridge/routing/retry_after.py
+++ b/packages/springbridge/springbridge/routing/retry_after.py
@@ -1,7 +1,8 @@
 """Retry-After: when the caller of a refused request should come back, in seconds.
 
 What is decided: the `Retry-After` of every refusal of the gateway that may pass if the caller tries
-again. A request that may have run and one that no route or key allows get none. Inputs: what refused it, with backlogs and targets in seconds. Outcome: seconds from now.
+again. A request that may have run and one that no route or key allows get none.
+Inputs: what refused the request, with backlogs and targets in seconds. Outcome: seconds from now.
 Why: many callers come back only once, so a time that is too short sends them into the same refusal
 and loses them; a time that is too long wastes capacity that is free again.
 Measured: the times for restarting endpoints, overload and an outage of the store, as noted at each.
