--- a/packages/springbridge-node/springbridge_node/gateway/requests/outcomes.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/outcomes.py
@@ -7,7 +7,7 @@
 from springbridge.routing.records import Admitted
 from springbridge.routing.retry_after import when_endpoint_full, while_endpoints_restart
 
-from springbridge_node.gateway.requests.attempt import ChosenEndpoint, End, Exchange
+from springbridge_node.gateway.requests.relay import ChosenEndpoint, End, Exchange
 
 
 def chosen_endpoint(choice: Choice, admitted: Admitted) -> ChosenEndpoint:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -8,7 +8,7 @@
 from springbridge.routing.records import Arrival
 
 from springbridge_node import logs
-from springbridge_node.gateway.requests.attempt import ChosenEndpoint, End, Exchange
+from springbridge_node.gateway.requests.relay import ChosenEndpoint, End, Exchange
 from springbridge_node.gateway.telemetry import Telemetry
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -26,7 +26,17 @@
 from springbridge_node.gateway.http.http_connection import ConnectFailedError, HttpConnection
 from springbridge_node.gateway.http.http_head import AnswerBrokenError
 from springbridge_node.gateway.peers.load_sharing import LoadSharing
-from springbridge_node.gateway.requests.attempt import (
+from springbridge_node.gateway.requests.endpoint_selector import EndpointSelector
+from springbridge_node.gateway.requests.outcomes import (
+    chosen_endpoint,
+    is_repeatable,
+    may_try_another,
+    no_endpoint_problem,
+    not_run_problem,
+    overload_problem,
+    problem_after,
+)
+from springbridge_node.gateway.requests.relay import (
     SERVER_ERROR,
     End,
     Exchange,
@@ -40,16 +50,6 @@
     send_held_failure,
     within,
 )
-from springbridge_node.gateway.requests.endpoint_selector import EndpointSelector
-from springbridge_node.gateway.requests.outcomes import (
-    chosen_endpoint,
-    is_repeatable,
-    may_try_another,
-    no_endpoint_problem,
-    not_run_problem,
-    overload_problem,
-    problem_after,
-)
 from springbridge_node.gateway.requests.request_codec import RequestCodec
 from springbridge_node.gateway.requests.request_log import (
     CALLER_LEFT,
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -17,14 +17,14 @@
     ),
     Mutant(
         "answers are matched by id",
-        f"{NODE}/gateway/requests/attempt.py",
+        f"{NODE}/gateway/requests/relay.py",
         'if answered in ("", request_id):',
         "if True:",
         f"{PLATFORM}/answers_test.py::test_a_stale_answer_is_passed_over",
     ),
     Mutant(
         "events that the caller has are dropped",
-        f"{NODE}/gateway/requests/attempt.py",
+        f"{NODE}/gateway/requests/relay.py",
         "return int(event_id) > int(progress.last_event)",
         "return True",
         f"{PLATFORM}/streams_test.py::test_events_that_come_twice_are_passed_on_once",
