--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -0,0 +1,91 @@
+"""One attempt: sends a request to an endpoint and takes the answer to the caller."""
+
+import time
+
+from springbridge.routing import giving_up, retries
+from springbridge.routing.endpoint_choice import Choice
+from springbridge.routing.retries import End
+
+from springbridge_node.gateway.http.http_connection import HttpConnection
+from springbridge_node.gateway.http.http_head import AnswerBrokenError, Head
+from springbridge_node.gateway.requests.endpoint_answer import (
+    SilentError,
+    read_head_within,
+    read_whole,
+)
+from springbridge_node.gateway.requests.exchange import Exchange, HeldFailure
+from springbridge_node.gateway.requests.relay import relay
+from springbridge_node.gateway.requests.request_codec import RequestCodec, Verdict
+
+
+async def make_attempt(
+    exchange: Exchange, choice: Choice, connection: HttpConnection, codec: RequestCodec
+) -> End:
+    """Send a request to the chosen endpoint, pass its answer on, and return how that ended.
+
+    Raises:
+      TimeoutError: Too little time is left; nothing was sent.
+      CallerGoneError: The caller is gone.
+    """
+    ran_before = exchange.progress.may_have_run
+    left_s = _send(exchange, choice, connection, codec)
+    silence_s = retries.silence_limit_s(exchange.route, exchange.attempts(), left_s)
+    try:
+        head = await read_head_within(silence_s, connection, codec, exchange.request_id)
+        verdict = codec.verdict(head)
+        if verdict.not_run:
+            exchange.progress.may_have_run = ran_before
+            return await _turned_away(exchange, connection, head, verdict)
+        return await _take_answer(exchange, connection, head, codec)
+    except AnswerBrokenError:
+        return End.BROKEN
+    except SilentError:
+        return End.SILENT
+
+
+def _send(
+    exchange: Exchange, choice: Choice, connection: HttpConnection, codec: RequestCodec
+) -> float:
+    """Send the request and return the seconds left to its deadline.
+
+    Not a coroutine: an await between the pool's check of the connection and the send would give
+    the endpoint time to close it, and a request that may not run twice would be lost on it.
+
+    Raises:
+      TimeoutError: Too little time is left; nothing was sent.
+    """
+    entry, progress = choice.state.entry, exchange.progress
+    left_s = exchange.admitted.deadline_s - time.monotonic()
+    if not retries.is_worth_sending(left_s):
+        raise TimeoutError
+    source = choice.source.entry if choice.source else None
+    head = codec.endpoint_request(
+        exchange.request, exchange.admitted, entry, source, left_s, progress.last_event
+    )
+    progress.sends += 1
+    progress.may_have_run = True
+    progress.tried.add(entry.endpoint_id)
+    connection.send(head, exchange.request.body)
+    return left_s
+
+
+async def _turned_away(
+    exchange: Exchange, connection: HttpConnection, head: Head, verdict: Verdict
+) -> End:
+    """Read the answer of an endpoint that promises not to have run the request."""
+    await read_whole(connection, head)
+    if verdict.other_endpoint:
+        exchange.progress.misdirected += 1
+        return End.OTHER_ENDPOINT
+    return End.TURNED_AWAY
+
+
+async def _take_answer(
+    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
+) -> End:
+    """Pass an answer on, or hold back a failure that another endpoint may do better."""
+    if giving_up.holds_failure(exchange.route, head.status):
+        exchange.progress.failure = HeldFailure(head, await read_whole(connection, head))
+        return End.ENDPOINT_ERROR
+    await relay(exchange, connection, head, codec)
+    return End.DELIVERED
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_answer.py
@@ -0,0 +1,60 @@
+"""Reads an endpoint's answer: its head, matched to the request and in time, and its whole body."""
+
+import asyncio
+
+from springbridge_node.gateway.http.http_connection import HttpConnection
+from springbridge_node.gateway.http.http_head import AnswerBrokenError, Head
+from springbridge_node.gateway.requests.request_codec import RequestCodec
+
+# Answers of other requests that are passed over on a connection before it counts as broken. Bounds
+# the reading for an endpoint that mixes up its answers. Not measured.
+STALE_ANSWERS = 3
+
+
+class SilentError(Exception):
+    """An endpoint did not begin its answer in time."""
+
+
+async def read_head_within(
+    seconds: float | None, connection: HttpConnection, codec: RequestCodec, request_id: str
+) -> Head:
+    """Return the head of the answer to a request.
+
+    Args:
+      seconds: How long to wait for it, or None for no limit but the request's deadline.
+
+    Raises:
+      SilentError: It did not come in time.
+      AnswerBrokenError: The connection ended, or brought only answers of other requests.
+    """
+    limit = asyncio.timeout(seconds)
+    try:
+        async with limit:
+            return await _read_own_head(connection, codec, request_id)
+    except TimeoutError as exc:
+        if limit.expired():
+            raise SilentError from exc
+        raise
+
+
+async def _read_own_head(connection: HttpConnection, codec: RequestCodec, request_id: str) -> Head:
+    """Return the head of the answer that belongs to a request, passing over stale answers."""
+    for _ in range(STALE_ANSWERS):
+        head = await connection.read_head()
+        answered = codec.verdict(head).request_id
+        if answered in ("", request_id):
+            return head
+        if head.unframed:
+            break
+        async for _ in connection.read_body(head):
+            pass
+    raise AnswerBrokenError("answers of other requests")
+
+
+async def read_whole(connection: HttpConnection, head: Head) -> bytes:
+    """Return the whole body of an answer.
+
+    Raises:
+      AnswerBrokenError: It ended early.
+    """
+    return b"".join([piece async for piece in connection.read_body(head)])
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
@@ -0,0 +1,116 @@
+"""The records of a request in progress: what it needs, and what became of it so far.
+
+Owns no behaviour: the router and the attempts change `Progress`, the rules of `routing` read it as
+`Attempts`, and the request log writes it down.
+"""
+
+from dataclasses import dataclass, field
+
+from springbridge.routing.endpoint_choice import Choice
+from springbridge.routing.records import Admitted, Demand, Route
+from springbridge.routing.retries import Attempts
+
+from springbridge_node.gateway.callers.answer import CallerAnswer
+from springbridge_node.gateway.callers.ingress import IncomingRequest
+from springbridge_node.gateway.http.http_head import Head
+from springbridge_node.gateway.peers.load_sharing import SharedLoad
+
+
+@dataclass(frozen=True, slots=True)
+class HeldFailure:
+    """An endpoint's own failure, kept in case no other endpoint does better."""
+
+    head: Head
+    body: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class ChosenEndpoint:
+    """An endpoint that a request was sent to, with what this instance knew of it then.
+
+    Attributes:
+      in_flight: Requests that it had.
+      prefill_tokens: Prompt tokens that it had still to read.
+      kept_tokens: Tokens of this prompt that its cache probably held.
+      source: Endpoint that it was told to fetch more of the prompt from, "" for none.
+      coordinator: Address of the coordinator that chose it, "" for this instance.
+    """
+
+    endpoint: str
+    in_flight: int
+    prefill_tokens: int
+    kept_tokens: int
+    source: str
+    coordinator: str
+
+    @classmethod
+    def from_choice(cls, choice: Choice, demand: Demand) -> "ChosenEndpoint":
+        """Return the record of a choice, taken before the request counts at the endpoint."""
+        state = choice.state
+        return cls(
+            endpoint=state.entry.endpoint_id,
+            in_flight=state.in_flight,
+            prefill_tokens=state.prefill_tokens,
+            kept_tokens=state.cache.kept_tokens(demand.prompt_parts),
+            source=choice.source.entry.endpoint_id if choice.source else "",
+            coordinator=choice.coordinator,
+        )
+
+
+@dataclass
+class Progress:
+    """What became of a request so far.
+
+    Attributes:
+      tried: Endpoints that no further attempt goes to.
+      chosen: The endpoints it was sent to, in order.
+      sends: See `Attempts`, as for misdirected, unreached, may_have_run and last_event.
+      first_piece_s: When the caller got the first piece of the answer, on the monotonic clock;
+        None before.
+      failure: The last failure that an endpoint answered with and that was held back.
+      load: The current attempt in the load that instances share.
+    """
+
+    tried: set[str] = field(default_factory=set)
+    chosen: list[ChosenEndpoint] = field(default_factory=list)
+    sends: int = 0
+    misdirected: int = 0
+    unreached: int = 0
+    may_have_run: bool = False
+    last_event: str | None = None
+    first_piece_s: float | None = None
+    failure: HeldFailure | None = None
+    load: SharedLoad | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Exchange:
+    """A caller's request with all that its attempts need."""
+
+    request: IncomingRequest
+    admitted: Admitted
+    demand: Demand
+    answer: CallerAnswer
+    progress: Progress
+
+    @property
+    def route(self) -> Route:
+        """Return the route that the request takes."""
+        return self.admitted.route
+
+    @property
+    def request_id(self) -> str:
+        """Return the id that the caller gave the request."""
+        return self.admitted.arrival.request_id
+
+    def attempts(self) -> Attempts:
+        """Return the attempts so far as the rules for retries and giving up see them."""
+        progress = self.progress
+        return Attempts(
+            sends=progress.sends,
+            misdirected=progress.misdirected,
+            unreached=progress.unreached,
+            may_have_run=progress.may_have_run,
+            answer_started=self.answer.started,
+            last_event=progress.last_event,
+        )
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -6,9 +6,10 @@
 from springbridge.problems import Problem
 from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.records import Arrival
+from springbridge.routing.retries import End
 
 from springbridge_node import logs
-from springbridge_node.gateway.requests.relay import ChosenEndpoint, End, Exchange
+from springbridge_node.gateway.requests.exchange import ChosenEndpoint, Exchange
 from springbridge_node.gateway.telemetry import Telemetry
 
 
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -10,14 +10,14 @@
 USERS_PLATFORM = (
     Mutant(
         "only what an engine promised not to have run is sent again",
-        f"{NODE}/gateway/requests/outcomes.py",
-        "return not exchange.progress.may_have_run or is_repeatable(exchange.admitted)",
+        f"{LIBRARY}/routing/retries.py",
+        "return not attempts.may_have_run or is_repeatable(route)",
         "return True",
         f"{REQUESTS}::test_a_request_that_may_not_be_repeated_is_sent_once",
     ),
     Mutant(
         "answers are matched by id",
-        f"{NODE}/gateway/requests/relay.py",
+        f"{NODE}/gateway/requests/endpoint_answer.py",
         'if answered in ("", request_id):',
         "if True:",
         f"{PLATFORM}/answers_test.py::test_a_stale_answer_is_passed_over",
@@ -31,15 +31,15 @@
     ),
     Mutant(
         "an engine that is gone does not count",
-        f"{NODE}/gateway/requests/router.py",
-        "progress.misdirected += verdict.other_endpoint",
+        f"{NODE}/gateway/requests/attempt.py",
+        "exchange.progress.misdirected += 1",
         "pass",
         f"{REQUESTS}::test_an_engine_that_is_gone_does_not_count_among_those_a_request_may_use",
     ),
     Mutant(
         "repeats draw on the budget",
         f"{NODE}/gateway/requests/router.py",
-        "return self._parts.budget.try_repeat(admitted.service.name)",
+        "return self._parts.budget.try_repeat(exchange.demand.service)",
         "return True",
         f"{REQUESTS}::test_second_tries_stay_within_the_budget",
     ),
