--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -11,7 +11,6 @@
 from springbridge.membership import Member, Membership, Pace
 from springbridge.problems import Problem
 from springbridge.routing.admission import RouteIndex
-from springbridge.routing.endpoint_choice import Chooser
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import CallerLimits
 from springbridge.routing.retry_after import while_leaving
@@ -72,16 +71,14 @@
 class Gateway:
     """One node."""
 
-    def __init__(
-        self, settings: GatewaySettings, outside: Outside, choose: Chooser | None = None
-    ) -> None:
+    def __init__(self, settings: GatewaySettings, outside: Outside) -> None:
         """Join the parts; nothing is started yet."""
         self.settings = settings
         self._outside = outside
         self.telemetry = Telemetry()
         self.membership = Membership(_member(settings), time.monotonic, random.Random(), PACE)
         self.registry = EndpointRegistry(time.monotonic, settings.drain_s)
-        self.selection_parts = SelectionParts(self.registry, self.membership, choose)
+        self.selection_parts = SelectionParts(self.registry, self.membership)
         self.pool = ConnectionPool(self._live_nodes)
         self.readers = StoreReaders(self.membership, settings.asks_seeds_first)
         self.configuration = ConfigurationFollower(
--- a/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_selector.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_selector.py
@@ -1,8 +1,13 @@
-"""Who chooses the endpoint of an attempt: this node, or a coordinator that knows more."""
+"""Selects the endpoint of an attempt: at this instance, or by asking a coordinator that knows more.
+
+An instance that hears of all requests for a service weighs their cost. One that does not asks a
+coordinator, and if none answers, it goes by the prompt's shared part, which needs no knowledge of
+the others' requests. The rules are in `springbridge.routing`; this module picks the one that suits.
+"""
 
 from collections.abc import Collection
 
-from springbridge.routing.endpoint_choice import Chooser, by_shared_prompt, by_token_cost
+from springbridge.routing.endpoint_choice import by_shared_prompt, by_token_cost
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import Demand
 from springbridge.routing.selection import Selection, select
@@ -13,7 +18,7 @@
 
 
 class EndpointSelector:
-    """Selects endpoints: by the load of all nodes where this node or a coordinator knows that."""
+    """Selects endpoints for the requests of this instance."""
 
     def __init__(
         self,
@@ -21,28 +26,25 @@
         loads: LoadSharing,
         coordinators: CoordinatorSet,
         client: SelectionClient,
-        chooser: Chooser | None = None,
     ) -> None:
-        """Keep the parts.
-
-        Args:
-          chooser: Decides at this node whatever it knows; left out, what suits the knowledge.
-        """
+        """Keep the parts."""
         self._registry = registry
         self._loads = loads
         self._coordinators = coordinators
         self._client = client
-        self._chooser = chooser
 
     async def select(self, demand: Demand, tried: Collection[str]) -> Selection:
-        """Return the endpoint for the next attempt, or why there is none."""
-        if self._chooser is not None:
-            return select(self._registry, demand, tried, self._chooser)
+        """Return the endpoint for the next attempt, or why there is none.
+
+        Args:
+          tried: Ids of the endpoints that no further attempt goes to.
+        """
         if self._coordinators.includes_me(demand.service):
             return select(self._registry, demand, tried, by_token_cost)
+        # Without a prompt only the requests in flight count, so no coordinator is asked.
         if demand.prompt_parts:
             attempt_id = self._loads.new_attempt_id()
-            told = await self._client.ask(demand, tried, attempt_id)
-            if told is not None:
-                return told
+            selection = await self._client.ask(demand, tried, attempt_id)
+            if selection is not None:
+                return selection
         return select(self._registry, demand, tried, by_shared_prompt)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
@@ -64,7 +64,7 @@
     Attributes:
       tried: Endpoints that no further attempt goes to.
       chosen: The endpoints it was sent to, in order.
-      sends: See `Attempts`, as for misdirected, unreached, may_have_run and last_event.
+      sends, misdirected, unreached, may_have_run, last_event: See `Attempts`.
       first_piece_s: When the caller got the first piece of the answer, on the monotonic clock;
         None before.
       failure: The last failure that an endpoint answered with and that was held back.
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_codec.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_codec.py
@@ -1,4 +1,8 @@
-"""Port: how requests and answers are written on the wire; an interface has one implementation."""
+"""Port: how requests and answers are written on the wire.
+
+The router and the attempts speak records and HTTP heads; header names and statuses with a meaning
+of their own belong to the implementation, one for each platform.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -12,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the head of an endpoint's answer says beyond HTTP.
+    """What the head of an endpoint's answer says about the attempt.
 
     Attributes:
       request_id: The request that the answer belongs to, "" where it does not say.
-      not_run: The endpoint did not run the request and never will.
-      other_engine: Another endpoint has this address.
+      not_run: The endpoint promises that it has not run the request and never will.
+      other_endpoint: Another endpoint than the one meant has this address now.
     """
 
     request_id: str
@@ -26,10 +30,10 @@
 
 
 class RequestCodec(Protocol):
-    """Translates between HTTP messages and the records of routing."""
+    """Translates between HTTP messages and the records of `springbridge.routing`."""
 
     def read_arrival(self, request: IncomingRequest) -> Arrival:
-        """Return what routing has to know of a request."""
+        """Return what routing has to know of a request, never its content."""
 
     def endpoint_request(
         self,
@@ -43,13 +47,13 @@
         """Return the head of the request to an endpoint.
 
         Args:
-          source: An endpoint to fetch what it keeps of the prompt from, or None.
-          left_s: Time for which the endpoint may work.
-          resume_after: The last event that the caller has got, or None.
+          source: Endpoint whose cache holds more of the prompt, to fetch that from, or None.
+          left_s: Time left to the request's deadline, in seconds.
+          resume_after: Id of the last event that the caller has got, or None.
         """
 
     def verdict(self, head: Head) -> Verdict:
-        """Return what an endpoint's answer says of its request."""
+        """Return what the head of an endpoint's answer says about the attempt."""
 
     def caller_headers(self, head: Head) -> HTTPHeaders:
-        """Return the headers of an endpoint's answer that belong to the caller."""
+        """Return the headers of an endpoint's answer that the caller gets."""
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -1,4 +1,7 @@
-"""What is logged and counted of requests: one line for each decision, never any content."""
+"""Logs and counts what is decided on requests: one line for each decision, never any content.
+
+Owns the fields of these log lines; operators' tools read them, so names and units stay.
+"""
 
 import time
 from dataclasses import dataclass
@@ -12,13 +15,17 @@
 from springbridge_node.gateway.requests.exchange import ChosenEndpoint, Exchange
 from springbridge_node.gateway.telemetry import Telemetry
 
+# Seconds. Bounds the logged age of the endpoint list, which is infinite before the first list and
+# would not be a number in JSON. Not measured; chosen beyond any age that occurs.
+LONGEST_AGE_S = 1e6
+
 
 @dataclass(frozen=True, slots=True)
 class Ending:
     """How a request ended.
 
     Attributes:
-      result: What it counts as.
+      result: Name of the result code, or one of the endings below; a label of the metrics.
       reason: What decided that, "" where the result says all.
     """
 
@@ -31,14 +38,14 @@
 
 
 class RequestLog:
-    """Writes decisions on requests to the log and the metrics."""
+    """Writes what was decided on requests to the log and the metrics."""
 
     def __init__(self, telemetry: Telemetry) -> None:
         """Keep the metrics."""
         self._telemetry = telemetry
 
     def refused(self, arrival: Arrival, problem: Problem, version: int) -> None:
-        """Note a request that the configuration does not allow."""
+        """Log a request that the configuration does not allow."""
         self._telemetry.requests.labels("", problem.code.name).inc()
         logs.event(
             "request.refused",
@@ -50,11 +57,11 @@
         )
 
     def attempt_failed(self, exchange: Exchange, endpoint_id: str, end: End) -> None:
-        """Note an attempt that did not deliver."""
+        """Log an attempt that did not deliver an answer."""
         self._telemetry.attempts.labels(end.value).inc()
         logs.event(
             "request.attempt_failed",
-            request_id=exchange.admitted.arrival.request_id,
+            request_id=exchange.request_id,
             engine=endpoint_id,
             end=end.value,
             sends=exchange.progress.sends,
@@ -63,7 +70,7 @@
         )
 
     def endpoint_ejected(self, state: EndpointState, end: End) -> None:
-        """Note that an endpoint gets no request for a while, after failures in a row."""
+        """Log that an endpoint was ejected after failures in a row."""
         logs.event(
             "engine.rests",
             engine=state.entry.endpoint_id,
@@ -73,18 +80,22 @@
         )
 
     def unreachable(self, exchange: Exchange, endpoint_id: str, reason: str) -> None:
-        """Note an endpoint to which no connection came up, so that it gets no request."""
+        """Log an endpoint to which no connection came up; it gets no request until one does."""
         self._telemetry.attempts.labels("unreachable").inc()
         logs.event(
             "engine.unreachable",
-            request_id=exchange.admitted.arrival.request_id,
+            request_id=exchange.request_id,
             engine=endpoint_id,
             reason=reason,
             after_ms=_age_ms(exchange),
         )
 
     def ended(self, exchange: Exchange, ending: Ending, list_age_s: float) -> None:
-        """Note the end of a request, with what decided it."""
+        """Log the end of a request, with what decided it.
+
+        Args:
+          list_age_s: Age of the endpoint list in use, in seconds; infinite before the first.
+        """
         admitted, progress = exchange.admitted, exchange.progress
         first_ms = None
         if progress.first_piece_s is not None:
@@ -94,12 +105,12 @@
         self._telemetry.requests.labels(admitted.route.name, ending.result).inc()
         logs.event(
             "request.ended",
-            request_id=admitted.arrival.request_id,
+            request_id=exchange.request_id,
             route=admitted.route.name,
             service=admitted.service.name,
             customer=admitted.customer,
             config_version=admitted.version,
-            list_age_ms=round(min(list_age_s, 1e6) * 1000),
+            list_age_ms=round(min(list_age_s, LONGEST_AGE_S) * 1000),
             engines=[_log_row(chosen) for chosen in progress.chosen],
             sends=progress.sends,
             result=ending.result,
@@ -110,7 +121,7 @@
 
 
 def _log_row(chosen: ChosenEndpoint) -> dict[str, object]:
-    """Return what is logged of an endpoint that a request was sent to."""
+    """Return the log fields of an endpoint that a request was sent to."""
     return {
         "engine": chosen.endpoint,
         "in_flight": chosen.in_flight,
@@ -122,5 +133,5 @@
 
 
 def _age_ms(exchange: Exchange) -> int:
-    """Return how long ago a request arrived."""
+    """Return how long ago a request arrived, in milliseconds."""
     return round((time.monotonic() - exchange.admitted.arrival.arrived_s) * 1000)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -91,7 +91,7 @@
 
     async def _serve_admitted(self, exchange: Exchange) -> None:
         """Serve a request that the configuration allows, and log its end in any case."""
-        self._parts.budget.fresh(exchange.demand.service)
+        self._parts.budget.note_request(exchange.demand.service)
         ending = CALLER_LEFT
         try:
             problem = await self._until_deadline(exchange)
@@ -129,7 +129,7 @@
                 return giving_up.after_failed_attempt(route, exchange.attempts(), end)
 
     def _may_send(self, exchange: Exchange) -> bool:
-        """Return whether the request may go to one more endpoint; a repeat uses up the budget."""
+        """Return whether the request may go to one more endpoint; a retry uses up the budget."""
         attempts = exchange.attempts()
         if not retries.may_pass_over_more(attempts):
             return False
@@ -137,7 +137,7 @@
             return True
         if not retries.has_endpoint_left(exchange.route, attempts):
             return False
-        return self._parts.budget.try_repeat(exchange.demand.service)
+        return self._parts.budget.try_retry(exchange.demand.service)
 
     async def _connect(self, exchange: Exchange, state: EndpointState) -> HttpConnection | None:
         """Return a connection to an endpoint; if there is none, the endpoint is passed over."""
--- a/packages/springbridge-node/springbridge_node/gateway/requests/selection_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/selection_parts.py
@@ -1,7 +1,11 @@
-"""All that decides which endpoint serves a request at this node, joined."""
+"""Joins what selects endpoints at this instance to the load that the instances share.
+
+Owns the selector, the shared load, and both sides of remote selection: the client that asks
+coordinators, and the server that answers while this instance is one.
+"""
 
 from springbridge.membership import Membership
-from springbridge.routing.endpoint_choice import Chooser, by_token_cost
+from springbridge.routing.endpoint_choice import by_token_cost
 from springbridge.routing.endpoint_registry import EndpointRegistry
 
 from springbridge_node.gateway.peers.coordinator_set import CoordinatorSet
@@ -12,31 +16,25 @@
 
 
 class SelectionParts:
-    """The choice of endpoints, with what nodes tell each other for it.
+    """The parts that select endpoints.
 
     Attributes:
-      loads: Tells of this node's requests at endpoints.
+      loads: Counts this instance's attempts at endpoints and shares them with peers.
       selector: Selects the endpoint of an attempt.
     """
 
-    def __init__(
-        self, registry: EndpointRegistry, membership: Membership, chooser: Chooser | None = None
-    ) -> None:
-        """Join the parts.
-
-        Args:
-          chooser: Decides at this node whatever it knows; left out, what suits the knowledge.
-        """
+    def __init__(self, registry: EndpointRegistry, membership: Membership) -> None:
+        """Join the parts."""
         coordinators = CoordinatorSet(membership)
-        self._server = SelectionServer(registry, chooser or by_token_cost)
+        self._server = SelectionServer(registry, by_token_cost)
         self._client = SelectionClient(registry, coordinators)
         self.loads = LoadSharing(
             registry, membership.me.incarnation, coordinators.audience, self._server.heard
         )
-        self.selector = EndpointSelector(registry, self.loads, coordinators, self._client, chooser)
+        self.selector = EndpointSelector(registry, self.loads, coordinators, self._client)
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Begin to tell peers and to listen to them."""
+        """Begin to exchange load, questions and answers with peers."""
         self.loads.connect(datagrams)
         self._server.connect(datagrams)
         self._client.connect(datagrams)
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -39,7 +39,7 @@
     Mutant(
         "repeats draw on the budget",
         f"{NODE}/gateway/requests/router.py",
-        "return self._parts.budget.try_repeat(exchange.demand.service)",
+        "return self._parts.budget.try_retry(exchange.demand.service)",
         "return True",
         f"{REQUESTS}::test_second_tries_stay_within_the_budget",
     ),
--- a/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
+++ b/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
@@ -1,4 +1,4 @@
-"""Tests of shared_budget.py: all nodes together keep within ratio and slack."""
+"""Tests of shared_retry_budget.py: all instances together keep within ratio and slack."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, LessThan
@@ -9,14 +9,14 @@
 
 
 def taken(budget, tries):
-    return sum(budget.try_repeat("desk") for _ in range(tries))
+    return sum(budget.try_retry("desk") for _ in range(tries))
 
 
 def test_the_sum_over_nodes_keeps_within_the_terms(clock):
     budgets = [SharedRetryBudget(TERMS, lambda: 7, clock) for _ in range(7)]
     for budget in budgets:
         for _ in range(20):
-            budget.fresh("desk")
+            budget.note_request("desk")
     total = sum(taken(budget, 100) for budget in budgets)
     assert_that(total, LessThan(0.2 * 140 + 50 + 1))
 
@@ -32,4 +32,4 @@
 def test_services_have_budgets_of_their_own(clock):
     budget = SharedRetryBudget(TERMS, lambda: 1, clock)
     taken(budget, 1000)
-    assert_that(budget.try_repeat("model"), Equals(True))
+    assert_that(budget.try_retry("model"), Equals(True))
