--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -11,9 +11,9 @@
 from springbridge.membership import Member, Membership, Pace
 from springbridge.problems import Problem
 from springbridge.routing.admission import RouteIndex
-from springbridge.routing.endpoint_choice import Chooser
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import CallerLimits
+from springbridge.routing.retry_after import while_leaving
 from springbridge.routing.shared_retry_budget import SharedRetryBudget
 
 from springbridge_node import logs
@@ -49,7 +49,7 @@
 SNAPSHOT_INTERVAL_S = 0.5
 SNAPSHOT_SHARE_OF_DRAIN = 0.25
 METRICS_PATH = "/metrics"
-LEAVING = Problem(Code.NODE_LEAVING, "planned stop", retry_after_s=0.05)
+LEAVING = Problem(Code.NODE_LEAVING, "planned stop", retry_after_s=while_leaving())
 
 
 @dataclass(frozen=True)
@@ -71,16 +71,14 @@
 class Gateway:
     """One node."""
 
-    def __init__(
-        self, settings: GatewaySettings, outside: Outside, choose: Chooser | None = None
-    ) -> None:
+    def __init__(self, settings: GatewaySettings, outside: Outside) -> None:
         """Join the parts; nothing is started yet."""
         self.settings = settings
         self._outside = outside
         self.telemetry = Telemetry()
         self.membership = Membership(_member(settings), time.monotonic, random.Random(), PACE)
         self.registry = EndpointRegistry(time.monotonic, settings.drain_s)
-        self.selection_parts = SelectionParts(self.registry, self.membership, choose)
+        self.selection_parts = SelectionParts(self.registry, self.membership)
         self.pool = ConnectionPool(self._live_nodes)
         self.readers = StoreReaders(self.membership, settings.asks_seeds_first)
         self.configuration = ConfigurationFollower(
--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -1,235 +1,91 @@
-"""One attempt at one endpoint: send, match the answer to the request, and pass it on.
+"""One attempt: sends a request to an endpoint and takes the answer to the caller."""
 
-Nothing is passed on before it can no longer be taken back: an answer without events waits until it
-is whole (or too large to wait), a stream until its first whole event. Until then another endpoint
-may be asked where the request allows that.
-"""
-
-import asyncio
 import time
-from collections.abc import Awaitable
-from dataclasses import dataclass, field
-from enum import Enum
 
-from springbridge.routing.event_stream import EventSplitter
-from springbridge.routing.records import Admitted, Demand
+from springbridge.routing import giving_up, retries
+from springbridge.routing.endpoint_choice import Choice
+from springbridge.routing.retries import End
 
-from springbridge_node.gateway.callers.answer import CallerAnswer
-from springbridge_node.gateway.callers.ingress import IncomingRequest
 from springbridge_node.gateway.http.http_connection import HttpConnection
 from springbridge_node.gateway.http.http_head import AnswerBrokenError, Head
-from springbridge_node.gateway.peers.load_sharing import SharedLoad
-from springbridge_node.gateway.requests.request_codec import RequestCodec
-
-HELD_BYTES = 256 << 10
-STALE_ANSWERS = 3
-SERVER_ERROR = 500
-
-
-class End(Enum):
-    """How an attempt ended."""
-
-    DELIVERED = "delivered"
-    TURNED_AWAY = "turned away"
-    OTHER_ENDPOINT = "other engine"
-    ENDPOINT_ERROR = "engine error"
-    BROKEN = "broken"
-    SILENT = "silent"
-
-
-@dataclass(frozen=True, slots=True)
-class HeldFailure:
-    """An endpoint's own failure, kept in case no other endpoint does better."""
-
-    head: Head
-    body: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class ChosenEndpoint:
-    """An endpoint that a request was sent to, and what was believed of it then.
-
-    Attributes:
-      in_flight: Requests that it had.
-      prefill_tokens: Prompt tokens that it had still to read.
-      kept_tokens: Tokens of this prompt that it probably kept.
-      source: Endpoint that it was told to fetch more of the prompt from, "" for none.
-      coordinator: Address of the node that chose, "" for this one.
-    """
-
-    endpoint: str
-    in_flight: int
-    prefill_tokens: int
-    kept_tokens: int
-    source: str
-    coordinator: str
-
-
-@dataclass
-class Progress:
-    """What became of a request so far.
-
-    Attributes:
-      tried: Endpoints that no further attempt goes to.
-      chosen: The endpoints it was sent to, in order.
-      sends: Times that it was sent.
-      misdirected: Those of them that met another endpoint than the one meant, which is gone.
-      may_have_run: Whether one of them may have run it.
-      last_event: Id of the last event that the caller got.
-      first_piece_s: When the caller got the first piece of the answer, None before.
-      failure: The last failure that an endpoint answered with.
-      load: The attempt in progress as the other nodes know it.
-    """
-
-    tried: set[str] = field(default_factory=set)
-    chosen: list[ChosenEndpoint] = field(default_factory=list)
-    sends: int = 0
-    misdirected: int = 0
-    may_have_run: bool = False
-    last_event: str | None = None
-    first_piece_s: float | None = None
-    failure: HeldFailure | None = None
-    load: SharedLoad | None = None
-
-    @property
-    def endpoints_used(self) -> int:
-        """Return the endpoints that count among those a route allows: not those that are gone."""
-        return self.sends - self.misdirected
-
-
-@dataclass(frozen=True, slots=True)
-class Exchange:
-    """A caller's request with all that its attempts need."""
-
-    request: IncomingRequest
-    admitted: Admitted
-    demand: Demand
-    answer: CallerAnswer
-    progress: Progress
-
-
-async def read_own_head(connection: HttpConnection, codec: RequestCodec, request_id: str) -> Head:
-    """Return the head of the answer that belongs to a request, passing over stale answers.
-
-    Raises:
-      AnswerBrokenError: None came.
-    """
-    for _ in range(STALE_ANSWERS):
-        head = await connection.read_head()
-        answered = codec.verdict(head).request_id
-        if answered in ("", request_id):
-            return head
-        if head.unframed:
-            break
-        async for _ in connection.read_body(head):
-            pass
-    raise AnswerBrokenError("answers of other requests")
-
+from springbridge_node.gateway.requests.endpoint_answer import (
+    SilentError,
+    read_head_within,
+    read_whole,
+)
+from springbridge_node.gateway.requests.exchange import Exchange, HeldFailure
+from springbridge_node.gateway.requests.relay import relay
+from springbridge_node.gateway.requests.request_codec import RequestCodec, Verdict
 
-async def read_whole(connection: HttpConnection, head: Head) -> bytes:
-    """Return the whole body of an answer."""
-    return b"".join([piece async for piece in connection.read_body(head)])
 
-
-async def relay_plain(
-    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
-) -> None:
-    """Pass on an answer without events: at once when it is whole, in pieces when it is large.
+async def make_attempt(
+    exchange: Exchange, choice: Choice, connection: HttpConnection, codec: RequestCodec
+) -> End:
+    """Send a request to the chosen endpoint, pass its answer on, and return how that ended.
 
     Raises:
-      AnswerBrokenError: The endpoint's answer ended early.
+      TimeoutError: Too little time is left; nothing was sent.
       CallerGoneError: The caller is gone.
     """
-    answer = exchange.answer
-    held = bytearray()
-    async for piece in connection.read_body(head):
-        if answer.started:
-            await answer.write(piece)
-            continue
-        held += piece
-        if len(held) > HELD_BYTES:
-            await _start(exchange, head, codec, bytes(held), head.length)
-    if not answer.started:
-        await _start(exchange, head, codec, bytes(held), len(held))
-    answer.finish()
-
-
-async def relay_events(
-    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
-) -> None:
-    """Pass on a stream event by event, after the last event that the caller has.
-
-    Raises:
-      AnswerBrokenError: The endpoint's stream broke; half an event was dropped.
-      CallerGoneError: The caller is gone.
-    """
-    splitter = EventSplitter()
-    async for piece in connection.read_body(head):
-        events = splitter.feed(piece)
-        fresh = [event for event in events if _is_fresh(exchange.progress, event.event_id)]
-        if fresh:
-            data = b"".join(event.raw for event in fresh)
-            await _pass_on(exchange, head, codec, data)
-            ids = [event.event_id for event in fresh if event.event_id is not None]
-            exchange.progress.last_event = ids[-1] if ids else exchange.progress.last_event
-    if splitter.rest or not exchange.answer.started:
-        await _pass_on(exchange, head, codec, splitter.rest)
-    exchange.answer.finish()
-
-
-def _is_fresh(progress: Progress, event_id: str | None) -> bool:
-    """Return whether the caller lacks an event."""
-    if event_id is None or progress.last_event is None:
-        return True
-    if event_id.isdigit() and progress.last_event.isdigit():
-        return int(event_id) > int(progress.last_event)
-    return True
-
-
-async def _pass_on(exchange: Exchange, head: Head, codec: RequestCodec, data: bytes) -> None:
-    """Send a piece of a stream, with the head before the first."""
-    if exchange.answer.started:
-        await exchange.answer.write(data)
-    else:
-        await _start(exchange, head, codec, data, None)
-
-
-async def _start(
-    exchange: Exchange, head: Head, codec: RequestCodec, piece: bytes, length: int | None
-) -> None:
-    """Send the head of an answer and its first piece."""
-    headers = codec.caller_headers(head)
-    if length is not None:
-        headers["Content-Length"] = str(length)
-    exchange.progress.first_piece_s = time.monotonic()
-    if exchange.progress.load is not None:
-        exchange.progress.load.read()
-    await exchange.answer.start(head.status, head.reason, headers, piece)
-
-
-async def send_held_failure(exchange: Exchange, failure: HeldFailure, codec: RequestCodec) -> None:
-    """Pass on an endpoint's own failure."""
-    body = failure.body
-    await _start(exchange, failure.head, codec, body, len(body))
-    exchange.answer.finish()
-
-
-class SilentError(Exception):
-    """An endpoint did not answer within the time that it had."""
-
-
-async def within(seconds: float | None, reading: Awaitable[Head]) -> Head:
-    """Await the head of an answer for so long, or without a limit.
+    ran_before = exchange.progress.may_have_run
+    left_s = _send(exchange, choice, connection, codec)
+    silence_s = retries.silence_limit_s(exchange.route, exchange.attempts(), left_s)
+    try:
+        head = await read_head_within(silence_s, connection, codec, exchange.request_id)
+        verdict = codec.verdict(head)
+        if verdict.not_run:
+            exchange.progress.may_have_run = ran_before
+            return await _turned_away(exchange, connection, head, verdict)
+        return await _take_answer(exchange, connection, head, codec)
+    except AnswerBrokenError:
+        return End.BROKEN
+    except SilentError:
+        return End.SILENT
+
+
+def _send(
+    exchange: Exchange, choice: Choice, connection: HttpConnection, codec: RequestCodec
+) -> float:
+    """Send the request and return the seconds left to its deadline.
+
+    Not a coroutine: an await between the pool's check of the connection and the send would give
+    the endpoint time to close it, and a request that may not run twice would be lost on it.
 
     Raises:
-      SilentError: It did not come in time.
+      TimeoutError: Too little time is left; nothing was sent.
     """
-    if seconds is None:
-        return await reading
-    try:
-        async with asyncio.timeout(seconds) as limit:
-            return await reading
-    except TimeoutError as exc:
-        if limit.expired():
-            raise SilentError from exc
-        raise
+    entry, progress = choice.state.entry, exchange.progress
+    left_s = exchange.admitted.deadline_s - time.monotonic()
+    if not retries.is_worth_sending(left_s):
+        raise TimeoutError
+    source = choice.source.entry if choice.source else None
+    head = codec.endpoint_request(
+        exchange.request, exchange.admitted, entry, source, left_s, progress.last_event
+    )
+    progress.sends += 1
+    progress.may_have_run = True
+    progress.tried.add(entry.endpoint_id)
+    connection.send(head, exchange.request.body)
+    return left_s
+
+
+async def _turned_away(
+    exchange: Exchange, connection: HttpConnection, head: Head, verdict: Verdict
+) -> End:
+    """Read the answer of an endpoint that promises not to have run the request."""
+    await read_whole(connection, head)
+    if verdict.other_endpoint:
+        exchange.progress.misdirected += 1
+        return End.OTHER_ENDPOINT
+    return End.TURNED_AWAY
+
+
+async def _take_answer(
+    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
+) -> End:
+    """Pass an answer on, or hold back a failure that another endpoint may do better."""
+    if giving_up.holds_failure(exchange.route, head.status):
+        exchange.progress.failure = HeldFailure(head, await read_whole(connection, head))
+        return End.ENDPOINT_ERROR
+    await relay(exchange, connection, head, codec)
+    return End.DELIVERED
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
@@ -0,0 +1,117 @@
+"""Passes an endpoint's answer on to the caller.
+
+Nothing is passed on before it can no longer be taken back: an answer without events waits until it
+is whole (or too large to wait), a stream until its first whole event. Until then another endpoint
+may be asked where the route allows that.
+"""
+
+import time
+from http import HTTPStatus
+
+from springbridge.routing.event_stream import EventSplitter
+
+from springbridge_node.gateway.http.http_connection import HttpConnection
+from springbridge_node.gateway.http.http_head import Head
+from springbridge_node.gateway.requests.exchange import Exchange, HeldFailure, Progress
+from springbridge_node.gateway.requests.request_codec import RequestCodec
+
+# Bytes of a plain answer that are held back until it is whole, so that another endpoint can still
+# answer if it breaks. Bounds the memory for each request in progress. Not measured.
+HELD_BYTES = 256 << 10
+
+
+async def relay(
+    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
+) -> None:
+    """Pass on an answer: by events if it is a stream, else as a whole.
+
+    Raises:
+      AnswerBrokenError: The endpoint's answer ended early.
+      CallerGoneError: The caller is gone.
+    """
+    if exchange.route.streaming and head.status < HTTPStatus.MULTIPLE_CHOICES:
+        await _relay_events(exchange, connection, head, codec)
+    else:
+        await _relay_plain(exchange, connection, head, codec)
+    exchange.answer.finish()
+
+
+async def relay_failure(exchange: Exchange, failure: HeldFailure, codec: RequestCodec) -> None:
+    """Pass on an endpoint's own failure that was held back.
+
+    Raises:
+      CallerGoneError: The caller is gone.
+    """
+    await _start(exchange, failure.head, codec, failure.body, len(failure.body))
+    exchange.answer.finish()
+
+
+async def _relay_plain(
+    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
+) -> None:
+    """Pass on an answer without events: at once when it is whole, in pieces when it is large."""
+    answer = exchange.answer
+    held = bytearray()
+    async for piece in connection.read_body(head):
+        if answer.started:
+            await answer.write(piece)
+            continue
+        held += piece
+        if len(held) > HELD_BYTES:
+            await _start(exchange, head, codec, bytes(held), head.length)
+    if not answer.started:
+        await _start(exchange, head, codec, bytes(held), len(held))
+
+
+async def _relay_events(
+    exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
+) -> None:
+    """Pass on a stream event by event, from behind the last event that the caller has.
+
+    Half an event is dropped if the stream breaks.
+    """
+    progress = exchange.progress
+    splitter = EventSplitter()
+    async for piece in connection.read_body(head):
+        events = splitter.feed(piece)
+        fresh = [event for event in events if _is_fresh(progress, event.event_id)]
+        if fresh:
+            await _pass_on(exchange, head, codec, b"".join(event.raw for event in fresh))
+            ids = [event.event_id for event in fresh if event.event_id is not None]
+            progress.last_event = ids[-1] if ids else progress.last_event
+    if splitter.rest or not exchange.answer.started:
+        await _pass_on(exchange, head, codec, splitter.rest)
+
+
+def _is_fresh(progress: Progress, event_id: str | None) -> bool:
+    """Return whether the caller lacks an event."""
+    if event_id is None or progress.last_event is None:
+        return True
+    if event_id.isdigit() and progress.last_event.isdigit():
+        return int(event_id) > int(progress.last_event)
+    return True
+
+
+async def _pass_on(exchange: Exchange, head: Head, codec: RequestCodec, data: bytes) -> None:
+    """Send a piece of a stream, with the head before the first."""
+    if exchange.answer.started:
+        await exchange.answer.write(data)
+    else:
+        await _start(exchange, head, codec, data, None)
+
+
+async def _start(
+    exchange: Exchange, head: Head, codec: RequestCodec, piece: bytes, length: int | None
+) -> None:
+    """Send the head of an answer and its first piece.
+
+    Args:
+      length: Bytes of the body, or None if the connection's framing tells its end.
+    """
+    headers = codec.caller_headers(head)
+    if length is not None:
+        headers["Content-Length"] = str(length)
+    exchange.progress.first_piece_s = time.monotonic()
+    if exchange.progress.load is not None:
+        exchange.progress.load.read()
+    await exchange.answer.start(head.status, head.reason, headers, piece)
