--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -3,7 +3,7 @@
 from springbridge_standins.mutant import LIBRARY, NODE, PLATFORM, Mutant
 
 REQUESTS = f"{PLATFORM}/requests_test.py"
-BOARD = f"{LIBRARY}/routing/endpoint_registry_test.py"
+ELIGIBILITY = f"{LIBRARY}/routing/eligibility_test.py"
 ASSIGNMENTS = f"{NODE}/gateway/peers/remote_selection_test.py"
 FOLLOWER = f"{NODE}/gateway/config/configuration_follower_test.py"
 
@@ -45,17 +45,17 @@
     ),
     Mutant(
         "the grace of lapsed entries ends with the time to drain",
-        f"{LIBRARY}/routing/endpoint_registry.py",
+        f"{LIBRARY}/routing/eligibility.py",
         "min(LAPSE_GRACE_S, drain_s - DRAIN_MARGIN_S)",
         "LAPSE_GRACE_S",
-        f"{BOARD}::test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over",
+        f"{ELIGIBILITY}::test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over",
     ),
     Mutant(
         "a single engine that vanished has left",
-        f"{LIBRARY}/routing/endpoint_registry.py",
-        "return {name for name in before if missing[name] * 2 > before[name]}",
-        "return set(before)",
-        f"{BOARD}::test_one_engine_that_vanished_over_an_outage_gets_nothing",
+        f"{LIBRARY}/routing/eligibility.py",
+        "return {service for service in total if missing[service] * 2 > total[service]}",
+        "return set(total)",
+        f"{ELIGIBILITY}::test_one_engine_that_vanished_over_an_outage_gets_nothing",
     ),
     Mutant(
         "what is told on grows older",
--- a/packages/springbridge/springbridge/routing/conftest.py
+++ b/packages/springbridge/springbridge/routing/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the routing tests: routes, requests and boards of endpoints."""
+"""Fixtures of the routing tests: routes, requests and registries of endpoints."""
 
 from dataclasses import replace
 
@@ -18,6 +18,7 @@
 )
 
 MODEL = "model"
+SERVICE = "matching"
 
 
 def make_route(name="r", prefix="/r/", **fields):
@@ -68,9 +69,34 @@
     return replace(Demand.from_admitted(make_admitted(parts, fetches), failure_domain), **fields)
 
 
+def make_snapshot(revision, *names, draining=()):
+    """Return a list of plain endpoints, some of which drain."""
+    ids = [(name, False) for name in names] + [(name, True) for name in draining]
+    return EndpointSnapshot(
+        revision,
+        tuple(
+            EndpointEntry(name, SERVICE, "10.0.0.1:80", "perth-a", 4, drains)
+            for name, drains in ids
+        ),
+    )
+
+
+def usable_ids(registry):
+    """Return the ids of the plain endpoints that may get a request."""
+    return sorted(state.entry.endpoint_id for state in registry.candidates(SERVICE, ()))
+
+
+@pytest.fixture
+def registry(clock):
+    """Return a registry of four plain endpoints."""
+    registry = EndpointRegistry(clock)
+    registry.install(make_snapshot(1, "a", "b", "c", "d"), {}, 0.0)
+    return registry
+
+
 @pytest.fixture
 def endpoints(clock):
-    """Return a registry of five model endpoints in one place."""
+    """Return a registry of five model endpoints in one failure domain."""
     registry = EndpointRegistry(clock)
     entries = tuple(
         EndpointEntry(f"e{number}", MODEL, f"10.0.0.{number}:80", "perth-a", 64, False)
--- /dev/null
+++ b/packages/springbridge/springbridge/routing/eligibility_test.py
@@ -0,0 +1,110 @@
+"""Tests of eligibility.py: which endpoints may get a request, and from when on no longer."""
+
+import pytest
+from testtools.assertions import assert_that
+from testtools.matchers import Equals, HasLength
+
+from springbridge.routing import eligibility
+from springbridge.routing.conftest import SERVICE, make_snapshot, usable_ids
+from springbridge.routing.ejection import FAILURES_TO_EJECT
+from springbridge.routing.eligibility import LAPSE_GRACE_S, OUTAGE_S
+from springbridge.routing.endpoint_registry import EndpointRegistry
+
+
+def test_draining_and_unlisted_engines_get_nothing(registry):
+    registry.install(make_snapshot(2, "a", "b", draining=("c",)), {}, 0.0)
+    assert_that(usable_ids(registry), Equals(["a", "b"]))
+
+
+def test_one_engine_that_vanished_over_an_outage_gets_nothing(registry, clock):
+    # Found by hunt-14ef-7 on caroni-charts: a node that was cut off took the removal of one engine
+    # for a lapse of the list, and sent it requests for seconds.
+    clock.advance(OUTAGE_S + 2.0)
+    registry.install(make_snapshot(2, "a", "b", "c"), {}, 0.0)
+    assert_that(usable_ids(registry), Equals(["a", "b", "c"]))
+
+
+def test_engines_that_all_vanished_over_an_outage_stay_usable_for_a_grace(registry, clock):
+    clock.advance(OUTAGE_S + 2.0)
+    registry.install(make_snapshot(2), {}, 0.0)
+    assert_that(usable_ids(registry), Equals(["a", "b", "c", "d"]))
+    clock.advance(LAPSE_GRACE_S)
+    assert_that(usable_ids(registry), Equals([]))
+
+
+@pytest.mark.parametrize("drain_s", [1.5, 2.0, 3.0])
+def test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over(clock, drain_s):
+    # The platform's pages: who has read that an engine is gone is bound by that over an outage too.
+    registry = EndpointRegistry(clock, drain_s)
+    registry.install(make_snapshot(1, "a", "b"), {}, 0.0)
+    clock.advance(OUTAGE_S + 2.0)
+    registry.install(make_snapshot(2), {}, 0.0)
+    clock.advance(drain_s - 0.05)
+    assert_that(usable_ids(registry), Equals([]))
+
+
+def test_engines_that_all_vanish_without_an_outage_get_nothing(registry):
+    registry.install(make_snapshot(2), {}, 0.0)
+    assert_that(usable_ids(registry), Equals([]))
+
+
+def test_a_lapsed_engine_that_is_listed_again_is_as_before(registry, clock):
+    clock.advance(OUTAGE_S + 2.0)
+    registry.install(make_snapshot(2), {}, 0.0)
+    registry.install(make_snapshot(3, "a"), {}, 0.0)
+    clock.advance(LAPSE_GRACE_S)
+    assert_that(usable_ids(registry), Equals(["a"]))
+
+
+def test_resting_engines_are_used_when_there_is_no_other(registry):
+    for name in "abcd":
+        for _ in range(FAILURES_TO_EJECT):
+            registry.failed(registry.find(name))
+    assert_that(usable_ids(registry), Equals(["a", "b", "c", "d"]))
+
+
+def test_an_unreachable_engine_gets_nothing_until_it_is_reached(registry):
+    # With all engines dark, requests waited for connections and were refused late.
+    for name in "abcd":
+        registry.unreachable(registry.find(name))
+    assert_that(usable_ids(registry), Equals([]))
+    assert_that(
+        [state.entry.endpoint_id for state in registry.unreachable_endpoints()], HasLength(4)
+    )
+    registry.reached(registry.find("b"))
+    assert_that(usable_ids(registry), Equals(["b"]))
+
+
+def test_an_engine_whose_address_another_has_gets_nothing(registry):
+    registry.gone(registry.find("b"))
+    assert_that(usable_ids(registry), Equals(["a", "c", "d"]))
+
+
+def test_engines_that_had_the_request_are_left_out(registry):
+    assert_that(
+        [state.entry.endpoint_id for state in registry.candidates(SERVICE, {"a", "c"})],
+        Equals(["b", "d"]),
+    )
+
+
+@pytest.mark.parametrize(
+    ("missing", "lapsed"), [("", False), ("a", False), ("ab", False), ("abc", True)]
+)
+def test_a_service_has_lapsed_if_more_than_half_of_its_endpoints_are_missing(missing, lapsed):
+    known = make_snapshot(1, "a", "b", "c", "d").entries
+    listed = set("abcd") - set(missing)
+    expected = {SERVICE} if lapsed else set()
+    assert_that(eligibility.lapsed_services(known, listed), Equals(expected))
+
+
+def test_draining_endpoints_that_vanish_are_no_lapse():
+    known = make_snapshot(1, "a", draining=("b", "c")).entries
+    assert_that(eligibility.lapsed_services(known, {"a"}), Equals(set()))
+
+
+def test_what_an_instance_avoids_is_ejected_or_unreachable_and_not_draining(registry):
+    registry.install(make_snapshot(2, "a", "b", "c", draining=("d",)), {}, 0.0)
+    for _ in range(FAILURES_TO_EJECT):
+        registry.failed(registry.find("b"))
+    registry.unreachable(registry.find("c"))
+    assert_that(sorted(registry.avoided(SERVICE)), Equals(["b", "c"]))
--- a/packages/springbridge/springbridge/routing/endpoint_registry.py
+++ b/packages/springbridge/springbridge/routing/endpoint_registry.py
@@ -1,42 +1,38 @@
-"""What this node believes of each endpoint: listed, loaded, failing, and which prompts it holds.
+"""The endpoints that this instance knows, and the endpoint list in use.
 
-The platform's list says which endpoints exist; this node's own traffic says how they do. An
-endpoint that leaves the list gets no new request. The one exception: when the list was unreadable
-for a while, entries may have expired without their endpoints having gone, so that the endpoints of
-a service that lost most of them over the outage stay usable for a short grace.
+Owns the state of each endpoint. The platform's list says which endpoints exist; the instance's own
+requests and the notices of its peers say how each of them does. Which endpoints may get a request
+is decided in eligibility.py, and for how long a failing one is ejected in ejection.py.
+
+Relies on a monotonic clock in seconds. Nothing here waits or does input or output.
 """
 
-from collections import Counter
-from collections.abc import Callable, Iterable, Set
+from collections.abc import Callable, Collection, Set
 
 import xxhash
 
-from springbridge.routing.endpoint_state import EndpointState
+from springbridge.routing import eligibility
+from springbridge.routing.ejection import ejection_s
+from springbridge.routing.endpoint_state import LISTED, EndpointState
 from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.records import EndpointEntry, EndpointSnapshot
 
-FAILURES_TO_EJECT = 3
-EJECT_S = 1.0
-LONGEST_EJECT_S = 4.0
-MOST_DOUBLINGS = 4
-# Entries that lapsed over an outage are back within about two seconds if their endpoints live.
-LAPSE_GRACE_S = 1.9
-DRAIN_MARGIN_S = 0.1
+# Bits dropped from the 64-bit hash of a list. Heartbeats carry the rest, and all instances of a
+# mixed fleet compare it, so that its length is fixed.
 FINGERPRINT_SHIFT = 32
-OUTAGE_S = 1.0
 
 
 class EndpointRegistry:
-    """All endpoints that this node may use."""
+    """All endpoints that this instance may use."""
 
     def __init__(self, clock: Callable[[], float], drain_s: float = float("inf")) -> None:
         """Start without endpoints.
 
         Args:
-          drain_s: How long an endpoint that is known to have left may still get requests.
+          drain_s: Seconds within which an endpoint that has left may still get requests.
         """
         self._clock = clock
-        self._lapse_grace_s = max(0.0, min(LAPSE_GRACE_S, drain_s - DRAIN_MARGIN_S))
+        self._lapse_grace_s = eligibility.lapse_grace_s(drain_s)
         self._states: dict[str, EndpointState] = {}
         self._revision = -1
         self._read_s: float | None = None
@@ -44,14 +40,9 @@
 
     @property
     def fingerprint(self) -> int:
-        """Return a hash of the list in use, alike at all nodes that have the same; 0 before one."""
+        """Return a hash of the list in use, the same on all instances with that list; 0 before."""
         return self._fingerprint
 
-    def confirm(self, age_s: float) -> None:
-        """Note that the list in use was still the newest so long ago."""
-        if self._read_s is not None:
-            self._read_s = max(self._read_s, self._clock() - age_s)
-
     @property
     def revision(self) -> int:
         """Return the revision of the list in use, -1 before the first."""
@@ -61,19 +52,24 @@
         """Return how old the list in use is, in seconds; infinite before the first."""
         return float("inf") if self._read_s is None else self._clock() - self._read_s
 
+    def confirm(self, age_s: float) -> None:
+        """Note that the list in use was the newest so many seconds ago."""
+        if self._read_s is not None:
+            self._read_s = max(self._read_s, self._clock() - age_s)
+
     def install(self, snapshot: EndpointSnapshot, capacities: dict[str, int], age_s: float) -> bool:
-        """Take in a list unless a newer one is in use.
+        """Use a list unless a newer one is in use.
 
         Args:
-          capacities: Tokens that an endpoint of a service can keep.
-          age_s: How long ago the list was read.
+          capacities: Tokens that an endpoint of each service can keep.
+          age_s: How long ago the list was read, in seconds.
 
         Returns:
           Whether an endpoint came, went, or changed.
         """
         if snapshot.revision < self._revision:
             return False
-        after_outage = self.age_s() > OUTAGE_S + age_s
+        after_outage = self.age_s() > eligibility.OUTAGE_S + age_s
         self._revision = snapshot.revision
         self._fingerprint = _fingerprint(snapshot)
         self._read_s = self._clock() - age_s
@@ -82,7 +78,7 @@
         return self._drop_unlisted(listed, after_outage) or changed
 
     def _update(self, listed: dict[str, EndpointEntry], capacities: dict[str, int]) -> bool:
-        """Take in the listed endpoints and return whether one is new or changed."""
+        """Add or update the listed endpoints and return whether one is new or changed."""
         changed = False
         for endpoint_id, entry in listed.items():
             state = self._states.get(endpoint_id)
@@ -92,102 +88,85 @@
             elif state.entry != entry:
                 state.entry = entry
                 changed = True
-            state.usable_until_s = float("inf")
+            state.usable_until_s = LISTED
             state.cache.capacity = capacities.get(entry.service, 0)
         return changed
 
     def _drop_unlisted(self, listed: dict[str, EndpointEntry], after_outage: bool) -> bool:
-        """Stop using endpoints that are no longer listed and return whether there were any."""
+        """Stop using endpoints that are no longer listed and return whether there were any.
+
+        An endpoint that still has requests is kept until they have ended.
+        """
         now_s = self._clock()
         changed = False
-        lapsed = self._lapsed_services(listed) if after_outage else set()
+        lapsed = eligibility.lapsed_services(self.entries(), listed) if after_outage else set()
         for endpoint_id in [name for name in self._states if name not in listed]:
             state = self._states[endpoint_id]
-            if state.usable_until_s == float("inf"):
-                lapse = state.entry.service in lapsed and not state.entry.draining
-                state.usable_until_s = now_s + (self._lapse_grace_s if lapse else 0.0)
+            if state.is_listed:
+                may_live = state.entry.service in lapsed and not state.entry.draining
+                state.usable_until_s = now_s + (self._lapse_grace_s if may_live else 0.0)
                 changed = True
             if state.usable_until_s <= now_s and not state.in_flight:
                 del self._states[endpoint_id]
         return changed
 
-    def _lapsed_services(self, listed: dict[str, EndpointEntry]) -> set[str]:
-        """Return the services that lost more than half of their endpoints at once.
-
-        A single endpoint that is no longer listed has left; many at once have expired together.
-        """
-        before: Counter[str] = Counter()
-        missing: Counter[str] = Counter()
-        for endpoint_id, state in self._states.items():
-            if state.usable_until_s == float("inf") and not state.entry.draining:
-                before[state.entry.service] += 1
-                missing[state.entry.service] += endpoint_id not in listed
-        return {name for name in before if missing[name] * 2 > before[name]}
-
     def find(self, endpoint_id: str) -> EndpointState | None:
         """Return an endpoint by its id."""
         return self._states.get(endpoint_id)
 
     def entries(self) -> tuple[EndpointEntry, ...]:
         """Return the endpoints that are listed now."""
-        return tuple(
-            state.entry for state in self._states.values() if state.usable_until_s == float("inf")
-        )
+        return tuple(state.entry for state in self._states.values() if state.is_listed)
 
     def known_ids(self) -> set[str]:
-        """Return the ids of all endpoints that are still in use."""
+        """Return the ids of all endpoints that are listed or still have requests."""
         return set(self._states)
 
-    def candidates(self, service: str, tried: Iterable[str]) -> list[EndpointState]:
-        """Return the endpoints of a service that may get a request, those at rest only if no other.
+    def candidates(self, service: str, tried: Collection[str]) -> list[EndpointState]:
+        """Return the endpoints of a service that may get a request.
 
         Args:
-          tried: Ids of endpoints that have had this request.
+          tried: Ids of the endpoints that had this request.
         """
-        now_s = self._clock()
-        usable = [
-            state
-            for state in self._states.values()
-            if state.entry.service == service
-            and state.is_usable(now_s)
-            and state.entry.endpoint_id not in tried
-        ]
-        return [state for state in usable if not state.is_ejected(now_s)] or usable
+        return eligibility.candidates(self._states.values(), service, tried, self._clock())
 
     def avoided(self, service: str) -> list[str]:
-        """Return the listed endpoints of a service that this instance keeps from using for now."""
+        """Return the ids of a service's endpoints that this instance does not use for now."""
+        return eligibility.avoided(self._states.values(), service, self._clock())
+
+    def unreachable_endpoints(self) -> list[EndpointState]:
+        """Return the endpoints that a prober has to try again: no connection came up."""
         now_s = self._clock()
         return [
-            state.entry.endpoint_id
+            state
             for state in self._states.values()
-            if state.entry.service == service
-            and not state.entry.draining
-            and (state.is_ejected(now_s) or not state.is_usable(now_s))
+            if not state.reachable and state.usable_until_s > now_s
         ]
 
     def take_notice(self, notice: LoadNotice) -> None:
-        """Take in what this node or a peer did with a request at an endpoint."""
+        """Apply what this instance or a peer did with a request at an endpoint."""
         state = self._states.get(notice.endpoint_id)
         if state is None:
             return
-        if notice.phase is LoadPhase.STARTED:
-            state.started(notice, self._clock())
-        elif notice.phase is LoadPhase.READ:
-            state.read(notice.attempt_id, self._clock())
-        elif notice.phase is LoadPhase.ENDED:
-            state.ended(notice.attempt_id)
-        elif notice.phase is LoadPhase.UNREACHED:
-            self.unreachable(state)
-        else:
-            self.misnamed(state)
+        match notice.phase:
+            case LoadPhase.STARTED:
+                state.started(notice, self._clock())
+            case LoadPhase.READ:
+                state.read(notice.attempt_id, self._clock())
+            case LoadPhase.ENDED:
+                state.ended(notice.attempt_id)
+            case LoadPhase.UNREACHED:
+                self.unreachable(state)
+            case LoadPhase.GONE:
+                self.gone(state)
 
     def expire_loads(self) -> None:
-        """Drop loads whose end was never heard of."""
+        """Drop loads that are too old: the notice of their end was probably lost."""
         for state in self._states.values():
             state.expire_loads(self._clock())
 
     def keep_loads_of(self, incarnations: Set[str]) -> None:
-        """Drop the loads of nodes that are not heard of."""
+        """Drop the loads of all instances but those that are alive."""
         for state in self._states.values():
             state.keep_loads_of(incarnations)
 
@@ -196,16 +175,12 @@
         state.failures = 0
 
     def failed(self, state: EndpointState) -> bool:
-        """Note that an endpoint failed a request; after some in a row it rests.
-
-        Returns:
-          Whether it rests now.
-        """
+        """Note that an endpoint failed a request, and return whether it is ejected for that."""
         state.failures += 1
-        if state.failures < FAILURES_TO_EJECT:
+        seconds = ejection_s(state.failures)
+        if not seconds:
             return False
-        doublings = min(state.failures - FAILURES_TO_EJECT, MOST_DOUBLINGS)
-        state.ejected_until_s = self._clock() + min(LONGEST_EJECT_S, EJECT_S * 2**doublings)
+        state.ejected_until_s = self._clock() + seconds
         return True
 
     def unreachable(self, state: EndpointState) -> None:
@@ -216,17 +191,8 @@
         """Note that a connection to an endpoint came up."""
         state.reachable = True
 
-    def unreachable_endpoints(self) -> list[EndpointState]:
-        """Return the listed endpoints to which no connection came up, for somebody to try again."""
-        now_s = self._clock()
-        return [
-            state
-            for state in self._states.values()
-            if not state.reachable and state.usable_until_s > now_s
-        ]
-
-    def misnamed(self, state: EndpointState) -> None:
-        """Note that another endpoint has the address: this one has ended."""
+    def gone(self, state: EndpointState) -> None:
+        """Note that another endpoint has the address, so that this one has ended."""
         state.usable_until_s = self._clock()
 
 
--- a/packages/springbridge/springbridge/routing/endpoint_state.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state.py
@@ -1,34 +1,56 @@
-"""One endpoint as an instance sees it: its entry, its load, how it fails, and what it reads.
+"""One endpoint as an instance sees it: its entry, its load, its failures and its prompt cache.
 
-The load is that of all instances as far as their notices came. Notices may be lost, so a load whose
-end is never heard of expires, and that of an instance that is silent is dropped: what an endpoint
-had to read when a cut came would count as its backlog long after it was read.
+Owns the load: the requests of all instances, as far as their notices arrived. Notices can be lost,
+so a load that is too old is dropped, and so is every load of an instance that is no longer alive:
+nobody would report its end, and it would count as backlog long after the endpoint was done.
 """
 
 from collections.abc import Set
 from dataclasses import dataclass, field
 
-from springbridge.routing.load_notices import Load, LoadNotice, teller_of
+from springbridge.routing.load_notices import LoadNotice, incarnation_of
 from springbridge.routing.prefix_cache import PrefixCache
 from springbridge.routing.reading_speed import ReadingSpeed
 from springbridge.routing.records import EndpointEntry
 
+# Value of EndpointState.usable_until_s for an endpoint on the list.
+LISTED = float("inf")
+# Seconds after which a request no longer counts as running. Not measured; it bounds how long a lost
+# notice of an end makes an endpoint look fuller than it is.
 LONGEST_LOAD_S = 20.0
+# Seconds after which a prompt no longer counts as unread. Not measured; it bounds the same for the
+# backlog, and must stay below the limit above: a prompt is read before its request ends.
 LONGEST_READ_S = 8.0
+assert LONGEST_READ_S < LONGEST_LOAD_S
+
+
+@dataclass(frozen=True, slots=True)
+class Load:
+    """A request that an endpoint has.
+
+    Attributes:
+      prefill_tokens: Prompt tokens that it probably has still to read; 0 once it has read them.
+      since_s: When this instance learnt of it, on its monotonic clock.
+    """
+
+    prefill_tokens: int
+    since_s: float
 
 
 @dataclass
 class EndpointState:
-    """One endpoint as this node sees it.
+    """One endpoint as this instance sees it.
 
     Attributes:
-      loads: The requests that it has now, of all nodes as far as this node knows.
+      loads: Its requests by attempt id, those of all instances as far as notices arrived.
       prefill_tokens: Prompt tokens of those that it has still to read.
-      speed: How fast it reads.
+      speed: How fast it reads prompts.
       failures: Failures in a row.
-      rests_until_s: No request goes there before this moment unless there is no other endpoint.
-      reachable: Whether the last attempt to connect succeeded; if not, no request goes there.
-      usable_until_s: When an endpoint that is no longer listed gets its last request.
+      ejected_until_s: Before this moment it gets a request only if there is no other endpoint.
+      reachable: Whether the last attempt to connect succeeded; if not, it gets no request.
+      usable_until_s: When it may get its last request: LISTED, or a moment if it is on the list no
+        more or another endpoint has its address.
+      cache: Which prompt parts it probably keeps.
     """
 
     entry: EndpointEntry
@@ -38,9 +60,14 @@
     failures: int = 0
     ejected_until_s: float = 0.0
     reachable: bool = True
-    usable_until_s: float = float("inf")
+    usable_until_s: float = LISTED
     cache: PrefixCache = field(default_factory=PrefixCache)
 
+    @property
+    def is_listed(self) -> bool:
+        """Return whether it is on the list and was not found gone since."""
+        return self.usable_until_s == LISTED
+
     @property
     def in_flight(self) -> int:
         """Return how many requests it has now."""
@@ -48,19 +75,11 @@
 
     @property
     def backlog_s(self) -> float:
-        """Return how long it takes to read what it has still to read, in seconds."""
+        """Return how many seconds it takes to read the prompts that are still unread."""
         return self.prefill_tokens / self.speed.tokens_per_s
 
-    def is_usable(self, now_s: float) -> bool:
-        """Return whether it may get a request, at rest or not."""
-        return not self.entry.draining and self.reachable and self.usable_until_s > now_s
-
-    def is_ejected(self, now_s: float) -> bool:
-        """Return whether it gets a request only if there is no other endpoint."""
-        return self.ejected_until_s > now_s
-
     def started(self, notice: LoadNotice, now_s: float) -> None:
-        """Add a request to the load, once."""
+        """Add a request to the load; a second notice of the same attempt changes nothing."""
         if notice.attempt_id in self.loads:
             return
         kept = max(self.cache.kept_tokens(notice.prompt_parts), notice.fetched_tokens)
@@ -72,18 +91,18 @@
             self.speed.has_work(now_s)
 
     def read(self, attempt_id: str, now_s: float) -> None:
-        """Note that the endpoint has read a prompt."""
+        """Note that the endpoint has read the prompt of an attempt."""
         self.speed.was_read(self._drop_prefill(attempt_id), now_s)
         self._note_idle()
 
     def ended(self, attempt_id: str) -> None:
-        """Drop a request from the load, read or not."""
+        """Drop an attempt from the load, whether its prompt was read or not."""
         self._drop_prefill(attempt_id)
         self.loads.pop(attempt_id, None)
         self._note_idle()
 
     def expire_loads(self, now_s: float) -> None:
-        """Drop loads whose end was never heard of, since its notice was lost or its node died."""
+        """Drop loads that are too old: the notice of their end was probably lost."""
         for attempt_id, load in list(self.loads.items()):
             if load.since_s < now_s - LONGEST_LOAD_S:
                 self.ended(attempt_id)
@@ -92,18 +111,18 @@
         self._note_idle()
 
     def keep_loads_of(self, incarnations: Set[str]) -> None:
-        """Drop the loads of nodes that are not heard of: nobody would tell of their end."""
+        """Drop the loads of all instances but those that are alive."""
         for attempt_id in list(self.loads):
-            if teller_of(attempt_id) not in incarnations:
+            if incarnation_of(attempt_id) not in incarnations:
                 self.ended(attempt_id)
 
     def _note_idle(self) -> None:
-        """Tell the estimate of the speed if there is nothing left to read."""
+        """End the sample of the reading speed if no prompt is unread."""
         if not self.prefill_tokens:
             self.speed.is_idle()
 
     def _drop_prefill(self, attempt_id: str) -> int:
-        """Take a prompt out of what is still to read and return its tokens."""
+        """Count an attempt's prompt as read and return the tokens that were unread."""
         load = self.loads.get(attempt_id)
         if load is None or not load.prefill_tokens:
             return 0
--- a/packages/springbridge/springbridge/routing/load_notices.py
+++ b/packages/springbridge/springbridge/routing/load_notices.py
@@ -1,8 +1,9 @@
-"""What nodes tell each other of the requests that they have at endpoints.
+"""Notices by which instances tell each other of their requests at endpoints.
 
-An endpoint's own report is late and costs a call. What a node does with a request it knows at once,
-and a notice of a hundred bytes tells the others within milliseconds. Notices may be lost: they are
-hints for the choice of endpoint, and a load whose end is never heard of expires.
+An endpoint's own report would be late and cost a call. The instance that sends a request knows at
+once when it starts, when its prompt has been read and when it ends, and a notice of about a hundred
+bytes takes that to its peers within milliseconds. Notices can be lost. They only improve the choice
+of endpoint, and a load whose end is not reported expires (endpoint_state.py).
 """
 
 from dataclasses import dataclass
@@ -10,24 +11,31 @@
 
 from springbridge.routing.records import PromptPart
 
+# Between incarnation and count in an attempt id. Attempt ids travel between instances, so that all
+# instances of a mixed fleet must agree on it.
 NAME_SEPARATOR = "/"
 
 
 def attempt_name(incarnation: str, count: int) -> str:
-    """Return a name for an attempt of a node, new among those of all nodes."""
+    """Return an id for an attempt of an instance, unique in the fleet.
+
+    Args:
+      count: Number of the attempt among those of this incarnation.
+    """
     return f"{incarnation}{NAME_SEPARATOR}{count}"
 
 
-def teller_of(attempt_id: str) -> str:
-    """Return the incarnation of the node that tells of an attempt."""
+def incarnation_of(attempt_id: str) -> str:
+    """Return the incarnation of the instance that makes an attempt."""
     return attempt_id.partition(NAME_SEPARATOR)[0]
 
 
 class LoadPhase(IntEnum):
-    """What happened to a request at an endpoint.
+    """What a notice reports. The numbers are on the wire and keep their meaning.
 
-    UNREACHED and GONE are no phases of the request but what it showed of the endpoint: no
-    connection came up, or another endpoint has its address.
+    STARTED, READ and ENDED are phases of a request: it was sent, the endpoint has read its prompt,
+    it is over. UNREACHED and GONE are about the endpoint: no connection came up, or another
+    endpoint has its address.
     """
 
     STARTED = 0
@@ -39,13 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadNotice:
-    """One request at one endpoint changed its phase.
+    """What happened to one request at one endpoint, or to the endpoint itself.
 
     Attributes:
-      attempt_id: Names the attempt among those of all nodes.
+      attempt_id: Id of the attempt, unique in the fleet; "" with UNREACHED and GONE.
       prompt_tokens: Length of the prompt; only with STARTED.
-      prompt_parts: What the endpoint will keep of it; only with STARTED.
-      fetched_tokens: What the endpoint keeps or fetches from another; only with STARTED.
+      prompt_parts: Parts of the prompt, which the endpoint will keep; only with STARTED.
+      fetched_tokens: Tokens of the prompt that the endpoint to fetch from keeps; 0 if there is
+        none, and only with STARTED.
     """
 
     phase: LoadPhase
@@ -54,16 +63,3 @@
     prompt_tokens: int = 0
     prompt_parts: tuple[PromptPart, ...] = ()
     fetched_tokens: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class Load:
-    """A request that an endpoint has.
-
-    Attributes:
-      prefill_tokens: Prompt tokens that it probably has still to read.
-      since_s: When this node learnt of it.
-    """
-
-    prefill_tokens: int
-    since_s: float
