--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -1,9 +1,10 @@
 """Keeps the newest configuration in force, from the store's feed and from peers.
 
-A version is never followed by an older one. A few nodes wait at the store's feed, which tells of
-changes at once, and tell the others. Digests carry how long ago the version in force was known to
-be the newest; a node that no peer confirms reads the store itself when its turn comes. Peers also
-help a node that the store turns away.
+Owns the configuration of this node. Relies on routing/freshness.py, which decides who reads the
+store. A few nodes wait at the store's feed, which delivers changes at once, and pass them on to the
+others. Digests carry the seconds since the version in force was last known to be the newest, so a
+node whose peers confirm its version leaves the store alone. A node that cannot reach the store gets
+new versions from its peers. A version is never replaced by an older one.
 """
 
 import asyncio
@@ -14,6 +15,13 @@
 from returns.result import Failure, Success
 from springbridge.codes import Code
 from springbridge.routing.admission import RouteIndex
+from springbridge.routing.freshness import (
+    FEED_READERS,
+    FEED_WAIT_S,
+    LOOK_S,
+    feed_pause_s,
+    reads_configuration,
+)
 
 from springbridge_node import logs
 from springbridge_node.gateway.config.dependency import Dependency
@@ -25,14 +33,10 @@
 )
 from springbridge_node.gateway.config.store_readers import StoreReaders
 
-WAIT_S = 15.0
-RETRY_S = 0.25
-LOOK_S = 0.2
-FEED_READERS = 5
-CONFIRMED_S = 1.1
 # When a first configuration is likely to be here: at a start, and while the store is out.
 DUE_AT_START_S = 0.5
 DUE_IN_OUTAGE_S = 3.0
+# Where a version came from, in the log.
 STORE = "store"
 PEER = "peer"
 
@@ -44,8 +48,8 @@
     """The configuration in force at this node.
 
     Attributes:
-      index: The configuration arranged for look-ups, or None before the first.
-      document: The same as the operators wrote it, for peers.
+      index: The configuration arranged for look-ups, or None before the first version.
+      document: The same version as the operators wrote it, to pass on to peers.
     """
 
     def __init__(
@@ -56,7 +60,13 @@
         readers: StoreReaders,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Keep the store, the reader of documents, whom to tell of a version, and who reads."""
+        """Start without a configuration.
+
+        Args:
+          read: Parses an operators' document.
+          installed: Called with each new version and where it came from.
+          readers: Says whether this node reads the store for all.
+        """
         self._store = store
         self._read = read
         self._installed = installed
@@ -76,7 +86,7 @@
         return self.document.version if self.document else 0
 
     def age_s(self) -> float:
-        """Return how long ago the version in force was known to be the newest, in seconds."""
+        """Return the seconds since the version in force was last known to be the newest."""
         return 0.0 if self._feed_is_up else self._clock() - self._confirmed_s
 
     def due_s(self) -> float:
@@ -87,12 +97,12 @@
         return DUE_AT_START_S if self._dependency.up else DUE_IN_OUTAGE_S
 
     def confirm(self, version: int, age_s: float) -> None:
-        """Note that a peer knew a version to be the newest so long ago."""
+        """Note that a version was known to be the newest, by a peer, so many seconds ago."""
         if version == self.version:
             self._confirmed_s = max(self._confirmed_s, self._clock() - age_s)
 
     def offer(self, document: ConfigurationDocument, source: str) -> None:
-        """Put a configuration in force unless it is not newer than the one that is."""
+        """Put a configuration in force if it is newer than the present one and can be read."""
         if document.version <= self.version:
             return
         try:
@@ -107,7 +117,7 @@
         self._installed(index, source)
 
     async def run(self) -> None:
-        """Keep the configuration fresh until cancelled; the caller keeps the task."""
+        """Keep the configuration fresh until cancelled."""
         while True:
             if not self._has_to_read():
                 await asyncio.sleep(LOOK_S)
@@ -121,19 +131,23 @@
             await self._pause()
 
     async def _pause(self) -> None:
-        """Wait before the next reading, unless changes may have been missed."""
+        """Wait before the next read; refresh() cuts the wait short."""
+        # The timeout is the usual end of this wait, not an error.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._pause_s()):
                 await self._missed_changes.wait()
 
     def _pause_s(self) -> float:
-        """Return how long to wait: after a failure, until all others have had a turn as well."""
-        if self._dependency.up or self.index is None or self._readers.include_me(FEED_READERS):
-            return RETRY_S
-        return max(RETRY_S, self._readers.round_s())
+        """Return how long to wait before the next read, in seconds."""
+        return feed_pause_s(
+            store_is_up=self._dependency.up,
+            has_configuration=self.index is not None,
+            is_reader=self._readers.include_me(FEED_READERS),
+            one_round_s=self._readers.round_s(),
+        )
 
     def refresh(self) -> None:
-        """Read anew at once, after a time in which changes may have been missed."""
+        """Read the store at once, because changes may have been missed."""
         self._feed_is_up = False
         self._confirmed_s = float("-inf")
         self._missed_changes.set()
@@ -141,14 +155,21 @@
             self._watch.cancel()
 
     def _has_to_read(self) -> bool:
-        """Return whether the store has to be read here, as a reader or for want of one."""
+        """Return whether this node has to read the store now."""
         if self.index is None:
             return not self._readers.seeds_come_first()
         turn_s = self._readers.turn_s(FEED_READERS)
-        return self.age_s() > CONFIRMED_S + turn_s or self._readers.include_me(FEED_READERS)
+        return reads_configuration(
+            self.age_s(), turn_s, is_reader=self._readers.include_me(FEED_READERS)
+        )
 
     async def catch_up(self, newest: int, fetch: FetchFromPeers) -> None:
-        """Take a version that peers have and this node has not, from the store if none gives it."""
+        """Fetch a newer version from the peers, or read the store if none of them delivers it.
+
+        Args:
+          newest: Newest version that a peer claims to have in force.
+          fetch: Returns a peer's document if it is newer than a version, else None.
+        """
         if newest <= self.version:
             return
         document = await fetch(self.version)
@@ -158,14 +179,18 @@
             self.refresh()
 
     async def _follow(self) -> None:
-        """Read the newest version; a reader then waits for changes until a call fails."""
+        """Read the newest version; a reader then waits at the feed until a call fails."""
         cursor = self._take(await self._store.read_configuration())
         while cursor is not None and self._readers.include_me(FEED_READERS):
             self._feed_is_up = True
-            cursor = self._take(await self._store.await_configuration(cursor, WAIT_S))
+            cursor = self._take(await self._store.await_configuration(cursor, FEED_WAIT_S))
 
     def _take(self, result) -> int | None:
-        """Take in what a call brought and return where to go on, or None to begin anew."""
+        """Install what a call returned.
+
+        Returns:
+          The cursor for the next call at the feed, or None if the whole must be read again.
+        """
         match result:
             case Success(ConfigurationNews(cursor, document)):
                 self._dependency.answered()
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -6,15 +6,12 @@
 from returns.result import Failure, Success
 from springbridge.codes import Code
 from springbridge.problems import Problem
+from springbridge.routing.freshness import CONFIRMED_S, LOOK_S
 from springbridge.routing.records import Configuration
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge_node.gateway.config.configuration_follower import (
-    CONFIRMED_S,
-    LOOK_S,
-    ConfigurationFollower,
-)
+from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
 from springbridge_node.gateway.config.platform_store import ConfigurationDocument, ConfigurationNews
 
 VERSION = 3
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
@@ -1,4 +1,9 @@
-"""Keeps the list of endpoints fresh: a few nodes read the store, the others follow them."""
+"""Keeps the endpoint list fresh: a few nodes read the store, the others follow their peers.
+
+Owns when the list is read or fetched; the endpoint registry owns the list itself. Relies on
+routing/freshness.py, which decides who reads. Non-readers see in their peers' digests whether
+their list is still the newest, and fetch a changed one from a peer.
+"""
 
 import asyncio
 import time
@@ -8,6 +13,16 @@
 from returns.result import Failure, Success
 from springbridge.membership import Membership, SnapshotStatus
 from springbridge.routing.endpoint_registry import EndpointRegistry
+from springbridge.routing.freshness import (
+    ASK_PEERS_AFTER_S,
+    LOOK_S,
+    OLDEST_AGE_S,
+    SNAPSHOT_READERS,
+    PeerSnapshot,
+    compare_with_peer,
+    is_confirmed,
+    is_overdue,
+)
 from springbridge.routing.records import EndpointSnapshot
 
 from springbridge_node import logs
@@ -15,30 +30,35 @@
 from springbridge_node.gateway.config.platform_store import PlatformStore
 from springbridge_node.gateway.config.store_readers import StoreReaders
 
-READERS = 2
-CONFIRMED_S = 1.1
-LOOK_S = 0.2
-ASK_PEERS_AFTER_S = 1.5
-
 
 @dataclass(frozen=True, slots=True)
 class AgedSnapshot:
-    """A list of endpoints and how old it is, as peers hand it on."""
+    """An endpoint list and the seconds since it was last known to be the newest."""
 
     snapshot: EndpointSnapshot
     age_s: float
 
 
+@dataclass(frozen=True, slots=True)
+class _PeerStatus:
+    """What a peer last said about its list.
+
+    Attributes:
+      snapshot: Fingerprint and present age of its list.
+    """
+
+    address: str
+    snapshot: SnapshotStatus
+
+
 FetchSnapshot = Callable[[str | None], Awaitable[AgedSnapshot | None]]
 
 
 class EndpointFollower:
-    """Brings the list of endpoints onto the registry.
+    """Installs the newest endpoint list in the registry.
 
-    Every call to the store costs, so a few nodes, chosen by hashing over the live members, read it
-    for all. The others see in the readers' digests whether their list is still the newest, and
-    fetch a changed one from a peer. A node that no peer confirms reads for itself when its turn
-    comes, and after a failure not again before all others had theirs.
+    Attributes:
+      dependency: Whether the store answered the last read by this node.
     """
 
     def __init__(
@@ -54,14 +74,15 @@
         interval_s: float,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Keep what to read from and where to put it.
+        """Start without a list.
 
         Args:
-          capacities: Returns the tokens that an endpoint of each service can keep.
-          fetch: Returns the list that a peer has, or that any has.
-          changed: Called when this node read a changed list.
+          readers: Says whether this node reads the store for all.
+          capacities: Returns the tokens that an endpoint's prefix cache holds, by service.
+          fetch: Returns the list of the peer at an address, or with None of any peer.
+          changed: Called when this node has read a changed list from the store.
           regained: Called when the store answers again after a failure.
-          interval_s: Pause between two reads of a reader.
+          interval_s: Pause of a reader between two reads, in seconds.
         """
         self._store = store
         self._registry = registry
@@ -77,51 +98,69 @@
         self.dependency = Dependency("store")
 
     def seen(self) -> SnapshotStatus:
-        """Return what to tell peers of the list in use."""
-        return SnapshotStatus(self._registry.fingerprint, min(1e6, self._registry.age_s()))
+        """Return the status of the list in use, for digests to peers."""
+        return SnapshotStatus(self._registry.fingerprint, min(OLDEST_AGE_S, self._registry.age_s()))
 
     async def step(self) -> None:
         """Keep the list fresh for one interval."""
         if self._readers.seeds_come_first() and await self._has_list_of_a_seed():
             await asyncio.sleep(LOOK_S)
-        elif self._readers.include_me(READERS) or await self._has_to_stand_in():
+        elif self._readers.include_me(SNAPSHOT_READERS) or await self._has_to_stand_in():
             await self._read_store()
             await asyncio.sleep(self._interval_s)
         else:
             await asyncio.sleep(LOOK_S)
 
     async def _has_list_of_a_seed(self) -> bool:
-        """Return whether a starting node leaves the store alone: it has a list or awaits one."""
+        """Return whether a starting node can leave the store alone.
+
+        It can while it has a confirmed list, or while its seeds may still deliver one.
+        """
         if self._registry.revision < 0:
             aged = await self._fetch(None)
             if aged is not None:
                 self._install(aged, "seed")
-        return self._registry.age_s() < CONFIRMED_S or self._readers.seeds_come_first()
+        return is_confirmed(self._registry.age_s()) or self._readers.seeds_come_first()
 
     async def _has_to_stand_in(self) -> bool:
-        """Return whether this node has to read: no peer confirms its list or gives a newer one."""
-        snapshot_ages = self._membership.snapshot_ages()
-        youngest, age_s = min(snapshot_ages, key=lambda pair: pair[1], default=(None, CONFIRMED_S))
-        if age_s >= CONFIRMED_S or age_s >= self._registry.age_s():
-            return self._is_its_turn()
-        if youngest.endpoint_snapshot.fingerprint == self._registry.fingerprint:
-            self._registry.confirm(age_s)
-            return False
-        aged = await self._fetch(youngest.peer_address)
-        if aged is None:
-            return True
-        self._install(aged, "peer")
-        return False
+        """Return whether this node has to read because no peer confirms or delivers the list."""
+        own = SnapshotStatus(self._registry.fingerprint, self._registry.age_s())
+        peer = self._peer_with_youngest()
+        youngest = peer.snapshot if peer else None
+        match compare_with_peer(own, youngest):
+            case PeerSnapshot.CONFIRMS:
+                self._registry.confirm(youngest.age_s)
+                return False
+            case PeerSnapshot.DIFFERS:
+                return not await self._fetch_from(peer.address)
+            case PeerSnapshot.NO_HELP:
+                return self._is_its_turn()
+
+    def _peer_with_youngest(self) -> _PeerStatus | None:
+        """Return the peer that has the youngest list, or None if there are no peers."""
+        ages = self._membership.snapshot_ages()
+        if not ages:
+            return None
+        member, age_s = min(ages, key=lambda pair: pair[1])
+        snapshot = SnapshotStatus(member.endpoint_snapshot.fingerprint, age_s)
+        return _PeerStatus(member.peer_address, snapshot)
+
+    async def _fetch_from(self, peer_address: str) -> bool:
+        """Install the list of a peer and return whether the peer delivered one."""
+        aged = await self._fetch(peer_address)
+        if aged is not None:
+            self._install(aged, "peer")
+        return aged is not None
 
     def _is_its_turn(self) -> bool:
-        """Return whether the list is so old that this node reads among those that stand in."""
+        """Return whether this node reads in place of the readers now."""
         if self._registry.revision < 0:
             return True
-        is_old = self._registry.age_s() >= CONFIRMED_S + self._readers.turn_s(READERS)
+        is_old = is_overdue(self._registry.age_s(), self._readers.turn_s(SNAPSHOT_READERS))
         return is_old and self._clock() >= self._next_turn_s
 
     async def _read_store(self) -> None:
-        """Read once; ask a peer where the list has grown old."""
+        """Read once; if the store fails and the list has grown old, ask a peer."""
         match await self._store.read_endpoints():
             case Success(snapshot):
                 if self._install(AgedSnapshot(snapshot, 0.0), "store"):
@@ -134,7 +173,7 @@
                 await self._ask_any_peer()
 
     async def _ask_any_peer(self) -> None:
-        """Take a younger list from a peer."""
+        """Install a peer's list if it is younger than this node's old one."""
         if self._registry.age_s() < ASK_PEERS_AFTER_S:
             return
         aged = await self._fetch(None)
@@ -142,7 +181,7 @@
             self._install(aged, "peer")
 
     def _install(self, aged: AgedSnapshot, source: str) -> bool:
-        """Put a list in use, log it if it brought a change, and return whether it did."""
+        """Install a list, log it if it changed anything, and return whether it did."""
         changed = self._registry.install(aged.snapshot, self._capacities(), aged.age_s)
         if changed:
             logs.event(
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -1,7 +1,8 @@
-"""Tests of engine_follower.py: when the list of engines is read from the store."""
+"""Tests of endpoint_follower.py: when the endpoint list is read from the store."""
 
 import asyncio
 import random
+from dataclasses import fields
 
 import pytest
 from returns.result import Failure, Success
@@ -9,16 +10,15 @@
 from springbridge.membership import Member, Membership, SnapshotStatus
 from springbridge.problems import Problem
 from springbridge.routing.endpoint_registry import EndpointRegistry
+from springbridge.routing.freshness import CONFIRMED_S, LOOK_S, SNAPSHOT_INTERVAL_S
 from springbridge.routing.records import EndpointEntry, EndpointSnapshot
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
 from springbridge_node.gateway.config.conftest import Clock
-from springbridge_node.gateway.config.endpoint_follower import (
-    CONFIRMED_S,
-    AgedSnapshot,
-    EndpointFollower,
-)
+from springbridge_node.gateway.config.endpoint_follower import AgedSnapshot, EndpointFollower
+from springbridge_node.gateway.gateway_settings import GatewaySettings
+from springbridge_node.gateway.peers.heartbeats import BEAT_S
 
 LISTING = EndpointSnapshot(7, (EndpointEntry("e1", "model", "127.0.0.1:1", "a", 4, False),))
 TURN_S = 0.5
@@ -176,3 +176,12 @@
     other.clock.now_s += 10.0
     other.steps()
     assert_that(other.registry.age_s(), Equals(0.0))
+
+
+def test_a_working_reader_confirms_the_list_before_others_read_it_themselves():
+    assert_that(CONFIRMED_S, GreaterThan(SNAPSHOT_INTERVAL_S + BEAT_S))
+
+
+def test_an_unconfirmed_node_reads_before_the_usual_drain_time_of_an_endpoint_is_over():
+    defaults = {field.name: field.default for field in fields(GatewaySettings)}
+    assert_that(defaults["drain_s"], GreaterThan(CONFIRMED_S + LOOK_S))
--- a/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
@@ -4,10 +4,11 @@
 
 import pytest
 from springbridge.membership import Member, Membership
+from springbridge.routing.freshness import ASK_SEEDS_FIRST_S, TURN_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from springbridge_node.gateway.config.store_readers import ASK_SEEDS_FIRST_S, TURN_S, StoreReaders
+from springbridge_node.gateway.config.store_readers import StoreReaders
 
 NODES = 40
 READERS = 5
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
@@ -5,12 +5,10 @@
 from collections.abc import Callable
 
 from springbridge.membership import Membership
+from springbridge.routing.freshness import FEED_READERS
 
 from springbridge_node import logs
-from springbridge_node.gateway.config.configuration_follower import (
-    FEED_READERS,
-    ConfigurationFollower,
-)
+from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
 from springbridge_node.gateway.config.endpoint_follower import EndpointFollower
 from springbridge_node.gateway.config.platform_store import PlatformStore
 from springbridge_node.gateway.config.store_readers import StoreReaders
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -73,9 +73,9 @@
     ),
     Mutant(
         "a node that nobody confirms reads the store",
-        f"{NODE}/gateway/config/configuration_follower.py",
-        "return self.age_s() > CONFIRMED_S + turn_s or self._readers.include_me(FEED_READERS)",
-        "return self._readers.include_me(FEED_READERS)",
+        f"{LIBRARY}/routing/freshness.py",
+        "return is_reader or is_overdue(age_s, own_turn_s)",
+        "return is_reader",
         f"{FOLLOWER}::test_a_node_whose_version_nobody_confirms_reads_the_store",
     ),
     Mutant(
