--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -85,6 +85,13 @@
         """Return the version in force, 0 before the first."""
         return self.document.version if self.document else 0
 
+    def token_capacities(self) -> dict[str, int]:
+        """Return how many tokens an endpoint can hold, running requests included, by service."""
+        if self.index is None:
+            return {}
+        services = self.index.configuration.services
+        return {name: service.token_capacity for name, service in services.items()}
+
     def age_s(self) -> float:
         """Return the seconds since the version in force was last known to be the newest."""
         return 0.0 if self._feed_is_up else self._clock() - self._confirmed_s
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
@@ -54,6 +54,23 @@
 FetchSnapshot = Callable[[str | None], Awaitable[AgedSnapshot | None]]
 
 
+@dataclass(frozen=True, slots=True)
+class FollowerHooks:
+    """What the follower needs from the rest of the node.
+
+    Attributes:
+      capacities: Returns how many tokens an endpoint can hold, by service.
+      fetch: Returns the list of the peer at an address, or with None of any peer.
+      changed: Called when this node has read a changed list from the store.
+      regained: Called when the store answers again after a failure.
+    """
+
+    capacities: Callable[[], dict[str, int]]
+    fetch: FetchSnapshot
+    changed: Callable[[], None]
+    regained: Callable[[], None]
+
+
 class EndpointFollower:
     """Installs the newest endpoint list in the registry.
 
@@ -67,10 +84,7 @@
         registry: EndpointRegistry,
         membership: Membership,
         readers: StoreReaders,
-        capacities: Callable[[], dict[str, int]],
-        fetch: FetchSnapshot,
-        changed: Callable[[], None],
-        regained: Callable[[], None],
+        hooks: FollowerHooks,
         interval_s: float,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -78,20 +92,13 @@
 
         Args:
           readers: Says whether this node reads the store for all.
-          capacities: Returns the tokens that an endpoint's prefix cache holds, by service.
-          fetch: Returns the list of the peer at an address, or with None of any peer.
-          changed: Called when this node has read a changed list from the store.
-          regained: Called when the store answers again after a failure.
           interval_s: Pause of a reader between two reads, in seconds.
         """
         self._store = store
         self._registry = registry
         self._membership = membership
         self._readers = readers
-        self._capacities = capacities
-        self._fetch = fetch
-        self._changed = changed
-        self._regained = regained
+        self._hooks = hooks
         self._interval_s = interval_s
         self._clock = clock
         self._next_turn_s = float("-inf")
@@ -117,7 +124,7 @@
         It can while it has a confirmed list, or while its seeds may still deliver one.
         """
         if self._registry.revision < 0:
-            aged = await self._fetch(None)
+            aged = await self._hooks.fetch(None)
             if aged is not None:
                 self._install(aged, "seed")
         return is_confirmed(self._registry.age_s()) or self._readers.seeds_come_first()
@@ -147,7 +154,7 @@
 
     async def _fetch_from(self, peer_address: str) -> bool:
         """Install the list of a peer and return whether the peer delivered one."""
-        aged = await self._fetch(peer_address)
+        aged = await self._hooks.fetch(peer_address)
         if aged is not None:
             self._install(aged, "peer")
         return aged is not None
@@ -164,9 +171,9 @@
         match await self._store.read_endpoints():
             case Success(snapshot):
                 if self._install(AgedSnapshot(snapshot, 0.0), "store"):
-                    self._changed()
+                    self._hooks.changed()
                 if self.dependency.answered():
-                    self._regained()
+                    self._hooks.regained()
             case Failure(problem):
                 self.dependency.failed(problem.detail)
                 self._next_turn_s = self._clock() + self._readers.round_s()
@@ -176,13 +183,13 @@
         """Install a peer's list if it is younger than this node's old one."""
         if self._registry.age_s() < ASK_PEERS_AFTER_S:
             return
-        aged = await self._fetch(None)
+        aged = await self._hooks.fetch(None)
         if aged is not None and aged.age_s < self._registry.age_s():
             self._install(aged, "peer")
 
     def _install(self, aged: AgedSnapshot, source: str) -> bool:
         """Install a list, log it if it changed anything, and return whether it did."""
-        changed = self._registry.install(aged.snapshot, self._capacities(), aged.age_s)
+        changed = self._registry.install(aged.snapshot, self._hooks.capacities(), aged.age_s)
         if changed:
             logs.event(
                 "engines.changed",
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -16,7 +16,11 @@
 from testtools.matchers import Equals, GreaterThan
 
 from springbridge_node.gateway.config.conftest import Clock
-from springbridge_node.gateway.config.endpoint_follower import AgedSnapshot, EndpointFollower
+from springbridge_node.gateway.config.endpoint_follower import (
+    AgedSnapshot,
+    EndpointFollower,
+    FollowerHooks,
+)
 from springbridge_node.gateway.gateway_settings import GatewaySettings
 from springbridge_node.gateway.peers.heartbeats import BEAT_S
 
@@ -77,10 +81,7 @@
             self.registry,
             self.membership,
             Readers(reads_for_all),
-            dict,
-            self._fetch,
-            lambda: None,
-            lambda: None,
+            FollowerHooks(dict, self._fetch, lambda: None, lambda: None),
             interval_s=0.0,
             clock=self.clock,
         )
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -1,18 +1,23 @@
-"""A node that routes by host and path: its parts, joined, and the tasks that keep them fresh."""
+"""A node that routes by host and path: joins its parts and runs the tasks that keep them fresh.
+
+Relies on the ports in Outside for all that is the platform's: store, formats and small interfaces.
+"""
 
 import asyncio
 import os
 import random
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Coroutine, Mapping
 from dataclasses import dataclass, replace
 
 from springbridge.codes import Code
 from springbridge.membership import Member, Membership, Pace
 from springbridge.problems import Problem
 from springbridge.routing.admission import RouteIndex
-from springbridge.routing.endpoint_choice import Chooser
 from springbridge.routing.endpoint_registry import EndpointRegistry
+from springbridge.routing.freshness import snapshot_interval_s
+from springbridge.routing.planned_stop import address_ttl_s
+from springbridge.routing.readiness import is_ready
 from springbridge.routing.records import CallerLimits
 from springbridge.routing.shared_retry_budget import SharedRetryBudget
 
@@ -21,13 +26,13 @@
 from springbridge_node.gateway.callers.directory import AddressBook
 from springbridge_node.gateway.callers.ingress import CallerListener, IncomingRequest
 from springbridge_node.gateway.config.configuration_follower import STORE, ConfigurationFollower
-from springbridge_node.gateway.config.endpoint_follower import EndpointFollower
+from springbridge_node.gateway.config.endpoint_follower import EndpointFollower, FollowerHooks
 from springbridge_node.gateway.config.platform_store import ConfigurationReader, PlatformStore
 from springbridge_node.gateway.config.store_readers import StoreReaders
 from springbridge_node.gateway.endpoints.pool import ConnectionPool
 from springbridge_node.gateway.endpoints.prober import EndpointProber
 from springbridge_node.gateway.gateway_settings import GatewaySettings
-from springbridge_node.gateway.http.small_server import TEXT, Handler, Reply, SmallServer
+from springbridge_node.gateway.http.small_server import TEXT, Handler, Reply, serve_small
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 from springbridge_node.gateway.peers.heartbeats import (
     ALONE_READ_S,
@@ -43,11 +48,13 @@
 from springbridge_node.gateway.telemetry import Telemetry
 from springbridge_node.periodic import every
 
+# Each digest goes to three peers whatever the size of the fleet, one of them in another failure
+# domain. A peer is suspected 1.2 s after its last heartbeat, which is more than four beats; in a
+# fleet too large for one digest the time grows with it. Neither was measured by itself.
 PACE = Pace(peers=3, suspect_s=1.2)
+# Seconds between two clean-ups of what belongs to endpoints and peers that are gone. Not measured;
+# it bounds memory and idle connections, and no decision waits for it.
 SWEEP_S = 2.0
-ADDRESS_TTL_S = 1.0
-SNAPSHOT_INTERVAL_S = 0.5
-SNAPSHOT_SHARE_OF_DRAIN = 0.25
 METRICS_PATH = "/metrics"
 LEAVING = Problem(Code.NODE_LEAVING, "planned stop", retry_after_s=0.05)
 
@@ -57,8 +64,8 @@
     """The ports of a node to its platform.
 
     Attributes:
-      ready_handlers: Make the handlers of the ready address from what they ask.
-      directory_handlers: Make those of the directory address.
+      ready_handlers: Makes the handlers of the ready address from the readiness check.
+      directory_handlers: Makes the handlers of the directory address from the address book.
     """
 
     store: PlatformStore
@@ -69,139 +76,166 @@
 
 
 class Gateway:
-    """One node."""
+    """One node: owns its parts, its listeners and its tasks.
 
-    def __init__(
-        self, settings: GatewaySettings, outside: Outside, choose: Chooser | None = None
-    ) -> None:
+    Attributes:
+      settings: The settings in force; reload() replaces them.
+      membership: The nodes of the fleet, this one included.
+      registry: The endpoints and what is known of each.
+      configuration: The configuration in force.
+      endpoints: What keeps the endpoint list in the registry fresh.
+      budget: This node's share of the retries that all nodes may make together.
+      router: Serves the requests.
+      listener: Accepts the callers' connections.
+    """
+
+    def __init__(self, settings: GatewaySettings, outside: Outside) -> None:
         """Join the parts; nothing is started yet."""
         self.settings = settings
         self._outside = outside
         self.telemetry = Telemetry()
         self.membership = Membership(_member(settings), time.monotonic, random.Random(), PACE)
         self.registry = EndpointRegistry(time.monotonic, settings.drain_s)
-        self.selection_parts = SelectionParts(self.registry, self.membership, choose)
+        self.selection_parts = SelectionParts(self.registry, self.membership)
         self.pool = ConnectionPool(self._live_nodes)
+        self.budget = SharedRetryBudget(settings.budget, self._live_nodes, time.monotonic)
         self.readers = StoreReaders(self.membership, settings.asks_seeds_first)
-        self.configuration = ConfigurationFollower(
-            outside.store,
-            outside.read_configuration,
+        self.peer_client = PeerClient(self.membership, lambda: list(self.settings.other_seeds))
+        self.configuration = self._configuration_follower()
+        self.endpoints = self._endpoint_follower()
+        self.router = RequestRouter(self._router_parts())
+        self.listener = CallerListener(self._serve)
+        self.heartbeats = self._heartbeats()
+        self.datagrams: PeerDatagrams | None = None
+        self._tasks: list[asyncio.Task] = []
+        self._refusing = False
+
+    def _configuration_follower(self) -> ConfigurationFollower:
+        """Return the part that keeps the configuration fresh."""
+        return ConfigurationFollower(
+            self._outside.store,
+            self._outside.read_configuration,
             self._configuration_installed,
             self.readers,
         )
-        self.peer_client = PeerClient(self.membership, lambda: list(self.settings.other_seeds))
-        self.endpoints = EndpointFollower(
-            outside.store,
+
+    def _endpoint_follower(self) -> EndpointFollower:
+        """Return the part that keeps the endpoint list fresh."""
+        return EndpointFollower(
+            self._outside.store,
             self.registry,
             self.membership,
             self.readers,
-            self._capacities,
-            self.peer_client.endpoints,
-            self._push,
-            self.configuration.refresh,
-            min(SNAPSHOT_INTERVAL_S, settings.drain_s * SNAPSHOT_SHARE_OF_DRAIN),
+            FollowerHooks(
+                capacities=self.configuration.token_capacities,
+                fetch=self.peer_client.endpoints,
+                changed=self._push,
+                regained=self.configuration.refresh,
+            ),
+            snapshot_interval_s(self.settings.drain_s),
         )
-        self.budget = SharedRetryBudget(settings.budget, self._live_nodes, time.monotonic)
-        self.router = RequestRouter(
-            RouterParts(
-                lambda: self.configuration.index,
-                self.configuration.due_s,
-                self.registry,
-                self.pool,
-                self.budget,
-                outside.codec,
-                self.selection_parts.selector,
-                RequestLog(self.telemetry),
-                self.selection_parts.loads,
-                settings.failure_domain,
-            )
+
+    def _router_parts(self) -> RouterParts:
+        """Return what the router works with."""
+        return RouterParts(
+            index=lambda: self.configuration.index,
+            configuration_due_s=self.configuration.due_s,
+            registry=self.registry,
+            pool=self.pool,
+            budget=self.budget,
+            codec=self._outside.codec,
+            selector=self.selection_parts.selector,
+            request_log=RequestLog(self.telemetry),
+            loads=self.selection_parts.loads,
+            failure_domain=self.settings.failure_domain,
         )
-        self.listener = CallerListener(self._serve)
-        self.datagrams: PeerDatagrams | None = None
-        self.heartbeats = Heartbeats(
+
+    def _heartbeats(self) -> Heartbeats:
+        """Return the part that exchanges digests with the peers."""
+        return Heartbeats(
             self.membership,
             self.configuration,
             self.endpoints,
             self.peer_client,
-            outside.store,
+            self._outside.store,
             self.readers,
             self.is_ready,
         )
-        self._tasks: list[asyncio.Task] = []
-        self._refusing = False
 
     async def start(self) -> None:
         """Open the listeners and start the tasks."""
+        self._open_listeners()
+        await self._open_datagrams()
+        self.membership.set_listed(self.settings.seeds)
+        self._tasks = [asyncio.ensure_future(work) for work in self._periodic_work()]
+
+    def _open_listeners(self) -> None:
+        """Accept connections at all addresses of this node."""
         addresses = self.settings.addresses
-        ttl_s = min(ADDRESS_TTL_S, self.settings.longest_ttl_s)
-        self._serve_small(addresses.ready, self._outside.ready_handlers(self.is_ready))
-        self._serve_small(
-            addresses.directory,
-            self._outside.directory_handlers(AddressBook(self.membership, ttl_s)),
-        )
-        self._serve_small(addresses.peers, peer_handlers(lambda: self.configuration, self.registry))
-        self._serve_small(addresses.metrics, {METRICS_PATH: self._metrics})
-        self.listener.listen(addresses.callers, _limits(self.configuration.index))
-        self.datagrams = datagrams = await PeerDatagrams.open(
+        book = AddressBook(self.membership, address_ttl_s(self.settings.longest_ttl_s))
+        serve_small(addresses.ready, self._outside.ready_handlers(self.is_ready))
+        serve_small(addresses.directory, self._outside.directory_handlers(book))
+        serve_small(addresses.peers, peer_handlers(lambda: self.configuration, self.registry))
+        serve_small(addresses.metrics, {METRICS_PATH: self._metrics})
+        self.listener.listen(addresses.callers, CallerLimits())
+
+    async def _open_datagrams(self) -> None:
+        """Open the socket for datagrams, and connect the parts that use it."""
+        self.datagrams = await PeerDatagrams.open(
             self.membership, self.settings.ip, self.settings.gossip_port
         )
-        self.heartbeats.connect(datagrams)
-        self.selection_parts.connect(datagrams)
-        self.membership.set_listed(self.settings.seeds)
-        self._tasks = [
-            asyncio.ensure_future(task)
-            for task in (
-                self.configuration.run(),
-                every(0.0, self.endpoints.step),
-                every(0.0, EndpointProber(self.registry, self.pool).step),
-                every(BEAT_S, self.heartbeats.beat),
-                every(ALONE_READ_S, self._find_peers, FIND_PEERS_AFTER_S),
-                every(0.0, self.heartbeats.follow_peers),
-                every(SWEEP_S, self._sweep),
-            )
-        ]
+        self.heartbeats.connect(self.datagrams)
+        self.selection_parts.connect(self.datagrams)
+
+    def _periodic_work(self) -> tuple[Coroutine[None, None, None], ...]:
+        """Return the work of all tasks, none of which ends by itself."""
+        return (
+            self.configuration.run(),
+            every(0.0, self.endpoints.step),
+            every(0.0, EndpointProber(self.registry, self.pool).step),
+            every(BEAT_S, self.heartbeats.beat),
+            every(ALONE_READ_S, self._find_peers, FIND_PEERS_AFTER_S),
+            every(0.0, self.heartbeats.follow_peers),
+            every(SWEEP_S, self._sweep),
+        )
 
     def is_ready(self) -> bool:
         """Return whether callers may be sent here."""
-        return (
-            self.membership.is_live()
-            and self.configuration.index is not None
-            and self.registry.revision >= 0
+        return is_ready(
+            is_live=self.membership.is_live(),
+            has_configuration=self.configuration.index is not None,
+            has_endpoint_list=self.registry.revision >= 0,
         )
 
     def leave(self) -> None:
-        """Begin a planned stop: tell all peers, and let connections end with their answers."""
+        """Begin a planned stop: notify all peers, and let connections end with their answers."""
         self.membership.leave()
         self.heartbeats.push_phase()
         self.listener.close_after_answers()
 
     def refuse_new(self) -> None:
-        """Take no further connections and refuse further requests; what is in progress goes on."""
+        """Refuse new connections and requests; requests in progress continue."""
         self._refusing = True
         self.listener.stop_accepting()
 
     async def end(self) -> None:
-        """Stop all tasks."""
+        """Notify all peers and stop all tasks."""
         self.membership.end()
         self.heartbeats.push_phase()
         for task in self._tasks:
             task.cancel()
+        # Periodic steps log their own faults; what is left here is the cancellation.
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self.datagrams is not None:
             self.datagrams.close()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take over changed settings; addresses stay as they were at the start."""
+        """Apply changed settings, except addresses, which stay as they were at the start."""
         self.settings = replace(settings, addresses=self.settings.addresses)
         self.budget.terms = settings.budget
         self.membership.set_listed(settings.seeds)
         logs.event("settings.reloaded", seeds=list(settings.seeds))
 
-    def _serve_small(self, address: str, handlers: Mapping[str, Handler]) -> None:
-        """Serve a small interface if it has an address."""
-        if address:
-            SmallServer(handlers).listen(address)
-
     async def _serve(self, request: IncomingRequest, answer: CallerAnswer) -> None:
         """Serve a request, or refuse it near the end of a planned stop."""
         if self._refusing:
@@ -210,7 +244,7 @@
             await self.router.serve(request, answer)
 
     def _metrics(self, query: dict[str, str]) -> Reply:
-        """Return the metrics as text."""
+        """Return the metrics as text, with the gauges as they are now."""
         self.telemetry.nodes.set(self._live_nodes())
         self.telemetry.endpoints.set(len(self.registry.entries()))
         self.telemetry.config_version.set(self.configuration.version)
@@ -219,32 +253,25 @@
         return Reply(200, self.telemetry.text(), TEXT)
 
     def _live_nodes(self) -> int:
+        """Return how many nodes share the retry budget and the connections to endpoints."""
         return max(1, len(self.membership.live()))
 
-    def _capacities(self) -> dict[str, int]:
-        """Return the tokens that an endpoint of each service keeps."""
-        index = self.configuration.index
-        if index is None:
-            return {}
-        services = index.configuration.services
-        return {name: service.token_capacity for name, service in services.items()}
-
     def _configuration_installed(self, index: RouteIndex, source: str) -> None:
-        """Hold callers to the new limits; who has a version from the store tells all peers."""
+        """Apply the new limits to callers, and push a version that the store delivered."""
         self.listener.apply(index.configuration.limits)
         if source == STORE:
             self._push()
 
     def _push(self) -> None:
-        """Tell all peers at once what this node knows."""
+        """Send a digest to all peers at once."""
         self.heartbeats.push()
 
     async def _find_peers(self) -> None:
-        """Look for peers while there are none."""
+        """Announce this node, and look for peers while it knows none."""
         await self.heartbeats.find_peers(self.settings.addresses.peers, lambda: self.settings.seeds)
 
     async def _sweep(self) -> None:
-        """Drop what belongs to endpoints and members that are gone."""
+        """Drop what belongs to endpoints and peers that are gone."""
         self.pool.keep_only(self.registry.known_ids())
         self.registry.expire_loads()
         heard = {member.incarnation for member in self.membership.reachable()}
@@ -253,7 +280,7 @@
 
 
 def _member(settings: GatewaySettings) -> Member:
-    """Return this node as its peers will know it; the incarnation is new at each start."""
+    """Return this node as its peers will know it, with an incarnation new at each start."""
     return Member(
         incarnation=os.urandom(5).hex(),
         instance=settings.name,
@@ -261,8 +288,3 @@
         caller_address=settings.addresses.callers,
         failure_domain=settings.failure_domain,
     )
-
-
-def _limits(index: RouteIndex | None) -> CallerLimits:
-    """Return the limits for callers, the defaults before the first configuration."""
-    return index.configuration.limits if index else CallerLimits()
--- a/packages/springbridge-node/springbridge_node/gateway/http/small_server.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/small_server.py
@@ -1,4 +1,8 @@
-"""Small HTTP interfaces of a node: a table of paths, each answered from memory at once."""
+"""Small HTTP interfaces of a node: readiness, directory, peers and metrics.
+
+Each is a table of paths whose handlers answer from memory at once, so that none of them blocks the
+event loop.
+"""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -7,6 +11,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPHeaders, HTTPServerRequest, ResponseStartLine, responses
 
+# Content types. TEXT is what Prometheus expects of its text format.
 JSON = "application/json"
 TEXT = "text/plain; version=0.0.4"
 
@@ -23,11 +28,17 @@
 Handler = Callable[[dict[str, str]], Reply]
 
 
+def serve_small(address: str, handlers: Mapping[str, Handler]) -> None:
+    """Serve a small interface, or nothing where the settings give it no address."""
+    if address:
+        SmallServer(handlers).listen(address)
+
+
 class SmallServer:
-    """Serves GET requests by path; a handler gets the query."""
+    """Answers requests by path; a handler gets the query."""
 
     def __init__(self, handlers: Mapping[str, Handler]) -> None:
-        """Keep the handlers."""
+        """Start with the handler of each path."""
         self._handlers = handlers
         self._server = HTTPServer(self._serve)
 
--- a/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
@@ -1,7 +1,7 @@
 """Start, planned stop and reload of a node process.
 
-A planned stop cuts nothing off. Callers keep addresses for a while, so the node serves on until
-those answers are old, then takes no further request, and ends when the last answer is out.
+Owns the process's signals and the settings file's changes. Relies on routing/planned_stop.py for
+the times of a planned stop, and on the gateway for its steps.
 """
 
 import asyncio
@@ -10,13 +10,17 @@
 import signal
 from collections.abc import AsyncIterator, Callable
 
+from springbridge.routing import planned_stop
+
 from springbridge_node import logs
 from springbridge_node.gateway.gateway import Gateway
 from springbridge_node.gateway.gateway_settings import GatewaySettings
 
-SERVE_ON_S = 2.8
-END_MARGIN_S = 0.25
+# Seconds between two checks whether the last answer is out. Not measured; chosen so that a stop
+# takes hardly longer than its answers.
 POLL_S = 0.02
+# Seconds between two looks at the settings file. Not measured. SIGHUP asks for a reload at once, so
+# this only bounds how long a change without the signal waits.
 SETTINGS_POLL_S = 1.0
 
 Load = Callable[[], GatewaySettings]
@@ -24,7 +28,7 @@
 
 @contextlib.asynccontextmanager
 async def running(gateway: Gateway) -> AsyncIterator[Gateway]:
-    """Start a node and stop its tasks at the end."""
+    """Run a gateway's tasks within a context."""
     await gateway.start()
     try:
         yield gateway
@@ -33,7 +37,12 @@
 
 
 async def run(gateway: Gateway, settings_path: str, load: Load) -> None:
-    """Run a node until SIGTERM, and its planned stop."""
+    """Run a node until SIGTERM or SIGINT, then stop it as planned.
+
+    Args:
+      settings_path: File whose changes, and SIGHUP, lead to a reload.
+      load: Reads that file.
+    """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
@@ -55,13 +64,14 @@
 
 
 async def stop_planned(gateway: Gateway) -> None:
-    """Leave, and wait until all answers are out or the grace is over."""
+    """Leave, and return once all answers are out or the grace is nearly over."""
     loop = asyncio.get_running_loop()
     began_s = loop.time()
-    end_s = began_s + gateway.settings.grace_s - END_MARGIN_S
+    grace_s = gateway.settings.grace_s
+    end_s = began_s + planned_stop.last_answer_s(grace_s)
     logs.event("node.leaving", in_progress=len(gateway.listener.in_progress))
     gateway.leave()
-    await asyncio.sleep(min(SERVE_ON_S, gateway.settings.grace_s / 2))
+    await asyncio.sleep(planned_stop.serve_on_s(grace_s))
     gateway.refuse_new()
     while gateway.listener.in_progress and loop.time() < end_s:
         await asyncio.sleep(POLL_S)
@@ -73,9 +83,10 @@
 
 
 async def _reload(gateway: Gateway, settings_path: str, load: Load, changed: asyncio.Event) -> None:
-    """Take over the settings file when a signal says so or the file has changed."""
+    """Reload the settings whenever the file has changed or a signal asks for it."""
     seen = _modified(settings_path)
     while True:
+        # The timeout is the usual end of this wait, not an error.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(SETTINGS_POLL_S):
                 await changed.wait()
@@ -92,9 +103,10 @@
 
 
 def _modified(path: str) -> tuple[int, int]:
-    """Return what changes when a file is written anew."""
+    """Return the time and the inode of a file, one of which changes when it is written anew."""
     try:
         found = os.stat(path)
     except OSError:
+        # A missing file counts as changed; the reload that follows logs why it can't be read.
         return (0, 0)
     return (found.st_mtime_ns, found.st_ino)
