--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints: connections that are kept, and the words in which they are spoken to."""
+"""Endpoints: this node's connections to them, and the probes of those it cannot reach."""
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
@@ -1,19 +1,51 @@
-"""Connections to endpoints, kept for reuse within the number that each endpoint takes."""
+"""Pool of connections to endpoints: reuses idle ones, and bounds how many are open.
+
+A new connection costs the endpoint time, so an idle one is reused while the endpoint has probably
+not closed it. An endpoint takes a limited number of connections from all nodes together and resets
+the others, so each node keeps to its share of them.
+"""
 
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from springbridge.routing.records import EndpointEntry, Service
 
 from springbridge_node.gateway.http.http_connection import HttpConnection, connect
 
+# Seconds for a connection to come up. Not measured; chosen as short beside a request's deadline, so
+# that another endpoint can still be tried.
 CONNECT_TIMEOUT_S = 0.4
-LONGEST_REST_S = 4.0
-SHARE_OF_KEEP = 0.7
-LONGEST_REST_ONCE_S = 1.0
-SHARE_OF_KEEP_ONCE = 0.4
-SHARE_OF_CAP = 0.8
-LEAST_CAP = 2
+# Share of an endpoint's connections that all nodes together use. Not measured; chosen to leave a
+# fifth, because nodes may differ for a moment on how many they are.
+USED_SHARE = 0.8
+# Connections to an endpoint that a node may have whatever its share. Not measured; chosen so that a
+# large fleet does not leave a node with one connection that a slow answer blocks.
+MIN_CONNECTIONS = 2
+
+
+@dataclass(frozen=True, slots=True)
+class IdleLimit:
+    """How long a connection may have been idle when it carries the next request.
+
+    Attributes:
+      max_s: Seconds where the endpoint did not say how long it keeps an idle connection.
+      keep_alive_share: Share of the time that it did say.
+    """
+
+    max_s: float
+    keep_alive_share: float
+
+
+# A repeatable request that is lost on a connection which the endpoint just closed is sent again,
+# so most of the endpoint's keep-alive time is used. Not measured.
+REPEATABLE_IDLE = IdleLimit(max_s=4.0, keep_alive_share=0.7)
+# A request that may not be repeated is lost for good there, so it needs a connection that was in
+# use a moment ago. Not measured; chosen well below the limit for repeatable ones.
+UNREPEATABLE_IDLE = IdleLimit(max_s=1.0, keep_alive_share=0.4)
+# Seconds after which an idle connection is closed. Derived: no request would take it any more,
+# unless its endpoint named a longer time.
+CLOSE_IDLE_S = 2 * REPEATABLE_IDLE.max_s
 
 
 class EndpointBusyError(Exception):
@@ -28,9 +60,13 @@
     """
 
     def __init__(self, nodes: Callable[[], int]) -> None:
-        """Keep the count of nodes that share what an endpoint takes."""
+        """Start without connections.
+
+        Args:
+          nodes: Returns how many nodes share an endpoint's connections.
+        """
         self._nodes = nodes
-        self._resting: dict[str, list[HttpConnection]] = {}
+        self._idle: dict[str, list[HttpConnection]] = {}
         self._open: dict[str, int] = {}
 
     async def acquire(
@@ -39,31 +75,31 @@
         """Return a connection that no other request uses.
 
         Args:
-          repeatable: Whether a request lost on a connection that the endpoint has just closed can
-            be sent again; if not, only one that was used a moment ago is taken.
+          repeatable: Whether a request that was lost may be sent again; see the idle limits.
 
         Raises:
           ConnectFailedError: The endpoint cannot be reached.
-          EngineBusyError: It takes no more connections of this node.
+          EndpointBusyError: This node has its share of the endpoint's connections.
         """
-        resting = self._resting.get(entry.endpoint_id, [])
-        while resting:
-            connection = resting.pop()
-            if _fit(connection, repeatable):
-                return connection
-            self.discard(entry.endpoint_id, connection)
-        if self._open.get(entry.endpoint_id, 0) >= self._cap(service):
+        limit = REPEATABLE_IDLE if repeatable else UNREPEATABLE_IDLE
+        idle = self._idle.get(entry.endpoint_id, [])
+        while idle:
+            conn = idle.pop()
+            if conn.can_carry(limit.max_s, limit.keep_alive_share):
+                return conn
+            self.discard(entry.endpoint_id, conn)
+        if self._open.get(entry.endpoint_id, 0) >= connection_cap(service, self._nodes()):
             raise EndpointBusyError(entry.endpoint_id)
         return await self._connect(entry)
 
     async def warm(self, entry: EndpointEntry) -> None:
-        """Open a connection and keep it for the next request.
+        """Open a connection and keep it idle for the next request.
 
         Raises:
           ConnectFailedError: The endpoint cannot be reached.
         """
-        connection = await self._connect(entry)
-        self._resting.setdefault(entry.endpoint_id, []).append(connection)
+        conn = await self._connect(entry)
+        self._idle.setdefault(entry.endpoint_id, []).append(conn)
 
     async def _connect(self, entry: EndpointEntry) -> HttpConnection:
         """Open a connection and count it."""
@@ -74,38 +110,34 @@
             self._count_closed(entry.endpoint_id)
             raise
 
-    def release(self, endpoint_id: str, connection: HttpConnection) -> None:
-        """Keep a connection whose answer was read whole, or close it."""
-        if not connection.may_be_kept:
-            self.discard(endpoint_id, connection)
+    def release(self, endpoint_id: str, conn: HttpConnection) -> None:
+        """Take a connection back after its answer was read whole, or close it if it is unfit."""
+        if not conn.may_be_kept:
+            self.discard(endpoint_id, conn)
             return
-        self._resting.setdefault(endpoint_id, []).append(connection)
+        self._idle.setdefault(endpoint_id, []).append(conn)
 
-    def discard(self, endpoint_id: str, connection: HttpConnection) -> None:
+    def discard(self, endpoint_id: str, conn: HttpConnection) -> None:
         """Close a connection."""
-        connection.abort()
+        conn.abort()
         self._count_closed(endpoint_id)
 
     def keep_only(self, endpoint_ids: set[str]) -> None:
-        """Close the resting connections of endpoints that are gone, and those at rest for long."""
-        for endpoint_id in list(self._resting):
-            stays = []
-            for connection in self._resting[endpoint_id]:
-                rested_s = time.monotonic() - connection.rested_since_s
-                if endpoint_id in endpoint_ids and rested_s <= LONGEST_REST_S * 2:
-                    stays.append(connection)
+        """Close the idle connections of all other endpoints, and those idle for too long."""
+        now_s = time.monotonic()
+        for endpoint_id in list(self._idle):
+            kept = []
+            for conn in self._idle[endpoint_id]:
+                if endpoint_id in endpoint_ids and now_s - conn.rested_since_s <= CLOSE_IDLE_S:
+                    kept.append(conn)
                 else:
-                    self.discard(endpoint_id, connection)
-            self._resting[endpoint_id] = stays
-            if not stays:
-                del self._resting[endpoint_id]
-
-    def _cap(self, service: Service) -> int:
-        """Return how many connections this node may have to one endpoint."""
-        share = service.max_connections * SHARE_OF_CAP / max(1, self._nodes())
-        return max(LEAST_CAP, int(share))
+                    self.discard(endpoint_id, conn)
+            self._idle[endpoint_id] = kept
+            if not kept:
+                del self._idle[endpoint_id]
 
     def _count_closed(self, endpoint_id: str) -> None:
+        """Count a connection as closed; an endpoint without connections is forgotten."""
         left = self._open.get(endpoint_id, 0) - 1
         if left > 0:
             self._open[endpoint_id] = left
@@ -113,8 +145,14 @@
             self._open.pop(endpoint_id, None)
 
 
-def _fit(connection: HttpConnection, repeatable: bool) -> bool:
-    """Return whether a resting connection may carry the next request."""
-    if repeatable:
-        return connection.can_carry(LONGEST_REST_S, SHARE_OF_KEEP)
-    return connection.can_carry(LONGEST_REST_ONCE_S, SHARE_OF_KEEP_ONCE)
+def connection_cap(service: Service, nodes: int) -> int:
+    """Return how many connections one node may have to an endpoint.
+
+    All nodes together may use USED_SHARE of what an endpoint takes, in equal parts, because it
+    resets connections beyond that and the requests on them are lost. A node always has
+    MIN_CONNECTIONS.
+
+    Args:
+      nodes: Live nodes, this one included.
+    """
+    return max(MIN_CONNECTIONS, int(service.max_connections * USED_SHARE / max(1, nodes)))
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/pool_test.py
@@ -0,0 +1,26 @@
+"""Tests of pool.py: how many connections a node may have, and which idle one it uses."""
+
+import pytest
+from springbridge.routing.records import Service
+from testtools.assertions import assert_that
+from testtools.matchers import Equals, LessThan
+
+from springbridge_node.gateway.endpoints.pool import (
+    MIN_CONNECTIONS,
+    REPEATABLE_IDLE,
+    UNREPEATABLE_IDLE,
+    connection_cap,
+)
+
+
+@pytest.mark.parametrize(
+    ("nodes", "connections"), [(1, 288), (7, 41), (71, 4), (300, MIN_CONNECTIONS)]
+)
+def test_nodes_share_four_fifths_of_what_an_endpoint_takes(nodes, connections):
+    service = Service("model", max_connections=360)
+    assert_that(connection_cap(service, nodes), Equals(connections))
+
+
+def test_what_may_not_be_repeated_needs_a_fresher_connection():
+    assert_that(UNREPEATABLE_IDLE.max_s, LessThan(REPEATABLE_IDLE.max_s))
+    assert_that(UNREPEATABLE_IDLE.keep_alive_share, LessThan(REPEATABLE_IDLE.keep_alive_share))
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
@@ -9,7 +9,9 @@
 from springbridge_node.gateway.endpoints.pool import ConnectionPool
 from springbridge_node.gateway.http.http_connection import ConnectFailedError
 
-INTERVAL_S = 0.25
+# Seconds between the end of one round and the next. Not measured; chosen as short beside the
+# seconds that an endpoint takes to come back, at one connection attempt each.
+PROBE_INTERVAL_S = 0.25
 
 
 class EndpointProber:
@@ -25,13 +27,14 @@
         await asyncio.gather(
             *(self._try(state) for state in self._registry.unreachable_endpoints())
         )
-        await asyncio.sleep(INTERVAL_S)
+        await asyncio.sleep(PROBE_INTERVAL_S)
 
     async def _try(self, state: EndpointState) -> None:
         """Try one endpoint."""
         try:
             await self._pool.warm(state.entry)
         except ConnectFailedError:
+            # No line: its first failure was logged, and the next round tries it again.
             return
         self._registry.reached(state)
         logs.event("engine.reached", engine=state.entry.endpoint_id)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -32,7 +32,11 @@
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 from springbridge_node.gateway.peers.heartbeats import BEAT_S, Heartbeats
 from springbridge_node.gateway.peers.peer_client import PeerClient
-from springbridge_node.gateway.peers.peer_discovery import FIRST_AFTER_S, INTERVAL_S, PeerDiscovery
+from springbridge_node.gateway.peers.peer_discovery import (
+    DISCOVERY_DELAY_S,
+    DISCOVERY_INTERVAL_S,
+    PeerDiscovery,
+)
 from springbridge_node.gateway.peers.peer_handlers import peer_handlers
 from springbridge_node.gateway.requests.request_codec import RequestCodec
 from springbridge_node.gateway.requests.request_log import RequestLog
@@ -151,7 +155,7 @@
                 every(0.0, self.endpoints.step),
                 every(0.0, EndpointProber(self.registry, self.pool).step),
                 every(BEAT_S, self.heartbeats.beat),
-                every(INTERVAL_S, self.discovery.step, FIRST_AFTER_S),
+                every(DISCOVERY_INTERVAL_S, self.discovery.step, DISCOVERY_DELAY_S),
                 every(0.0, self.catch_up.step),
                 every(SWEEP_S, self._sweep),
             )
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_discovery.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_discovery.py
@@ -17,10 +17,10 @@
 
 # Seconds between two looks; each reads the store only while this node is alone. Not measured;
 # chosen as long beside the time in which a digest of a peer arrives, to spare the store.
-INTERVAL_S = 2.0
+DISCOVERY_INTERVAL_S = 2.0
 # Seconds before the first look, in which seeds may answer without a call to the store. Not
 # measured; chosen like the interval.
-FIRST_AFTER_S = 2.0
+DISCOVERY_DELAY_S = 2.0
 
 
 class PeerDiscovery:
