--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -17,7 +17,7 @@
 from springbridge.classes.entities import EndpointKind
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import InstanceList, TableStore
-from springbridge.classes.slots.slots import ScheduledSlots
+from springbridge.classes.slots.slot_client import ScheduledSlots
 from springbridge.membership import GOSSIP_INTERVAL_S, Member, Membership
 from tornado.httpserver import HTTPServer
 
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/engine_roles.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/engine_roles.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from springbridge.classes.slots.slots import ROLE_PREFIX
+from springbridge.classes.slots.slot_client import ROLE_PREFIX
 from springbridge.hashing import owner
 from springbridge.membership import Membership
 
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
@@ -2,7 +2,7 @@
 
 from springbridge.classes.ports import SlotSource
 from springbridge.classes.slots.baselines import LeastLoadSlots, RoundRobinSlots
-from springbridge.classes.slots.slots import ScheduledSlots
+from springbridge.classes.slots.slot_client import ScheduledSlots
 
 from springbridge_node.class_router.endpoints.load_reports import LoadReports
 
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -17,7 +17,7 @@
     Sample,
 )
 from springbridge.classes.limits import Lease, LeaseAsk
-from springbridge.classes.slots.slots import ScheduledSlots
+from springbridge.classes.slots.slot_client import ScheduledSlots
 from springbridge.membership import Membership
 
 from springbridge_node.class_router.config.config_sync import ConfigSync
--- a/packages/springbridge/springbridge/classes/slots/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -29,8 +29,8 @@
 )
 from springbridge.classes.entities import Tier
 from springbridge.classes.invariants import Invariants
+from springbridge.classes.slots.endpoint_slots import Running, SlotAccount
 from springbridge.classes.slots.fair_queue import FairQueue
-from springbridge.classes.slots.slot_account import Running, SlotAccount
 
 INVARIANT_TOP_TIER = "top tier refused last"
 INVARIANT_LAST_SLOT = "last slot stays preemptible"
--- a/packages/springbridge/springbridge/classes/slots/slots.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -30,7 +30,7 @@
 from springbridge.classes.entities import Endpoint, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import Attempt, Slot
-from springbridge.classes.slots.slot_asks import (
+from springbridge.classes.slots.pending_asks import (
     AskTerms,
     Held,
     Pending,
