--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -11,7 +11,7 @@
 from springbridge.classes.entities import Share, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.limits import LimitOwner, NodeLimit
-from springbridge.classes.slots.scheduler import EngineScheduler
+from springbridge.classes.slots.scheduler import EndpointScheduler
 from springbridge.hashing import owner
 from springbridge.membership import Member, Membership
 
@@ -44,7 +44,7 @@
 
 def schedule(clock: Clock, scheduler_node: str) -> list[str]:
     """Ask for three slots and return the asks that were granted at once."""
-    scheduler = EngineScheduler(scheduler_node, "engine-1", 10_000, clock, Invariants())
+    scheduler = EndpointScheduler(scheduler_node, "engine-1", 10_000, clock, Invariants())
     granted = []
     for number in range(3):
         ask = Ask(
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -17,7 +17,7 @@
 from springbridge.classes.entities import EndpointKind
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import InstanceList, TableStore
-from springbridge.classes.slots.slot_client import ScheduledSlots
+from springbridge.classes.slots.slot_client import SlotClient
 from springbridge.membership import GOSSIP_INTERVAL_S, Member, Membership
 from tornado.httpserver import HTTPServer
 
@@ -88,7 +88,7 @@
         metadata = {TOKEN_KEY: settings.peer_token, NODE_KEY: self.incarnation}
         self.links = PeerLinks(metadata, self._link_opened, self._link_broke)
         self.roles = EngineRoles(self.config, self.membership, lambda: self.slots.resend())
-        self.slots = ScheduledSlots(
+        self.slots = SlotClient(
             self.incarnation,
             self.clock,
             self.roles.scheduler_of,
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
@@ -6,7 +6,7 @@
 from springbridge.classes.decisions import Ask, Decision, Hold, Inventory, Release, Sample
 from springbridge.classes.entities import Table
 from springbridge.classes.invariants import Invariants
-from springbridge.classes.slots.scheduler import EngineScheduler
+from springbridge.classes.slots.scheduler import EndpointScheduler
 
 TICK_S = 0.1
 
@@ -28,7 +28,7 @@
         self._invariants = invariants
         self._table = table
         self._send = send
-        self.schedulers: dict[str, EngineScheduler] = {}
+        self.schedulers: dict[str, EndpointScheduler] = {}
         self._endpoint_of: dict[str, str] = {}
 
     def take(self, message: Ask | Hold | Inventory | Release | Sample) -> None:
@@ -93,7 +93,7 @@
             live |= scheduler.ask_ids()
         self._endpoint_of = {ask: name for ask, name in self._endpoint_of.items() if ask in live}
 
-    def _scheduler(self, endpoint: str) -> EngineScheduler | None:
+    def _scheduler(self, endpoint: str) -> EndpointScheduler | None:
         """Return the scheduler of an endpoint of the table."""
         found = self.schedulers.get(endpoint)
         if found is not None:
@@ -101,7 +101,7 @@
         record = self._table().endpoints.get(endpoint)
         if record is None:
             return None
-        found = EngineScheduler(
+        found = EndpointScheduler(
             self._me, endpoint, record.token_capacity, self._clock, self._invariants
         )
         self.schedulers[endpoint] = found
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -17,7 +17,7 @@
     Sample,
 )
 from springbridge.classes.limits import Lease, LeaseAsk
-from springbridge.classes.slots.slot_client import ScheduledSlots
+from springbridge.classes.slots.slot_client import SlotClient
 from springbridge.membership import Membership
 
 from springbridge_node.class_router.config.config_sync import ConfigSync
@@ -39,7 +39,7 @@
     """Who takes in messages."""
 
     hosts: SchedulerHost
-    slots: ScheduledSlots
+    slots: SlotClient
     membership: Membership
     config: ConfigSync
     limits: LimitGate
--- a/packages/springbridge-standins/springbridge_standins/capacity_library.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity_library.py
@@ -10,7 +10,7 @@
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.limits import LimitOwner, NodeLimit
 from springbridge.classes.request_ids import parse, prefix
-from springbridge.classes.slots.scheduler import EngineScheduler
+from springbridge.classes.slots.scheduler import EndpointScheduler
 from springbridge.classes.table.changes import Change, Edit, Snapshot, apply
 from springbridge.classes.table.rows import build, updated
 from springbridge.hashing import owner
@@ -29,9 +29,9 @@
     )  # fmt: skip
 
 
-def a_scheduler(running: int, waiting: int) -> EngineScheduler:
+def a_scheduler(running: int, waiting: int) -> EndpointScheduler:
     """Return a scheduler with slots in use and asks in its queue."""
-    scheduler = EngineScheduler("me", "engine-1", 10**9, perf_counter, Invariants())
+    scheduler = EndpointScheduler("me", "engine-1", 10**9, perf_counter, Invariants())
     for limit in scheduler.limits.tiers.values():
         limit.limit = float(running)
         limit.learnt_s = perf_counter() + 3600
@@ -40,7 +40,7 @@
     return scheduler
 
 
-def _turnover(scheduler: EngineScheduler) -> Callable[[], object]:
+def _turnover(scheduler: EndpointScheduler) -> Callable[[], object]:
     """Return a step in which one slot is released and one ask comes in."""
     numbers = iter(range(10**9))
 
@@ -157,7 +157,7 @@
     ]  # fmt: skip
 
 
-def _inventory_step(scheduler: EngineScheduler) -> Callable[[], object]:
+def _inventory_step(scheduler: EndpointScheduler) -> Callable[[], object]:
     inventory = Inventory("node-1-0a1b2c3d", tuple(scheduler.running))
     return lambda: scheduler.take_inventory(inventory)
 
--- a/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
@@ -35,7 +35,7 @@
         return self.ask.preemptible and not self.stopping
 
 
-class SlotAccount:
+class EndpointSlots:
     """Slots of one endpoint.
 
     Attributes:
--- a/packages/springbridge/springbridge/classes/slots/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -29,7 +29,7 @@
 )
 from springbridge.classes.entities import Tier
 from springbridge.classes.invariants import Invariants
-from springbridge.classes.slots.endpoint_slots import Running, SlotAccount
+from springbridge.classes.slots.endpoint_slots import EndpointSlots, Running
 from springbridge.classes.slots.fair_queue import FairQueue
 
 INVARIANT_TOP_TIER = "top tier refused last"
@@ -42,7 +42,7 @@
 INVENTORY_LAG_S = 2.0
 
 
-class EngineScheduler:
+class EndpointScheduler:
     """Queue and slots of one endpoint."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self._me = me
         self.endpoint = endpoint
         self.queue = FairQueue()
-        self.slots = SlotAccount(self.queue, token_capacity, clock)
+        self.slots = EndpointSlots(self.queue, token_capacity, clock)
         self.running = self.slots.running
         self.limits = self.slots.limits
         self.health = self.slots.health
--- a/packages/springbridge/springbridge/classes/slots/scheduler_test.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler_test.py
@@ -20,15 +20,15 @@
 from springbridge.classes.entities import Tier
 from springbridge.classes.slots.concurrency import NEAR_BELOW
 from springbridge.classes.slots.minimum_share import PRESSURE_S
-from springbridge.classes.slots.scheduler import INVENTORY_LAG_S, EngineScheduler
+from springbridge.classes.slots.scheduler import INVENTORY_LAG_S, EndpointScheduler
 
 SLOTS = 4
 
 
 @pytest.fixture
 def scheduler(clock, invariants):
-    """Return a scheduler whose engine takes SLOTS requests."""
-    found = EngineScheduler("me", "engine-1", 100_000, clock, invariants)
+    """Return a scheduler whose endpoint takes SLOTS requests."""
+    found = EndpointScheduler("me", "engine-1", 100_000, clock, invariants)
     for limit in found.limits.tiers.values():
         limit.limit = float(SLOTS)
         limit.learnt_s = clock()
--- a/packages/springbridge/springbridge/classes/slots/slot_client.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -55,7 +55,7 @@
 Send = Callable[[str, ToScheduler], None]
 
 
-class ScheduledSlots:
+class SlotClient:
     """The slot source that asks the schedulers of the endpoints."""
 
     def __init__(
