--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
@@ -18,6 +18,7 @@
     "endpoint_snapshot": "listing",
     "fingerprint": "mark",
     "endpoint": "engine",
+    "concurrency": "places",
 }
 
 
--- a/packages/springbridge/springbridge/classes/limits.py
+++ b/packages/springbridge/springbridge/classes/limits.py
@@ -53,7 +53,7 @@
     customer: str
     request_class: str
     starts: int
-    places: int
+    concurrency: int
     retry_after_s: float
     settled: bool = True
 
@@ -66,7 +66,7 @@
     tokens: float
     refilled_s: float
     since_s: float
-    places: dict[str, int] = field(default_factory=dict)
+    concurrency: dict[str, int] = field(default_factory=dict)
     expires_s: dict[str, float] = field(default_factory=dict)
 
     @classmethod
@@ -80,11 +80,11 @@
         settled = now_s - self.since_s >= OWNER_GRACE_S or nodes == 1
         self._refill(now_s, settled)
         self._drop_expired(now_s)
-        places = self._take_places(ask, now_s)
+        concurrency = self._lease_concurrency(ask, now_s)
         starts = min(ask.starts, int(self.tokens)) if settled else 0
         self.tokens -= starts
         retry_s = max(0.0, 1.0 - self.tokens) / self.share.rate_per_s
-        return Lease(ask.customer, ask.request_class, starts, places, retry_s, settled)
+        return Lease(ask.customer, ask.request_class, starts, concurrency, retry_s, settled)
 
     def _refill(self, now_s: float, settled: bool) -> None:
         """Fill the bucket, but only a little while nodes still use their equal parts."""
@@ -97,16 +97,16 @@
     def _drop_expired(self, now_s: float) -> None:
         for node in [node for node, end_s in self.expires_s.items() if end_s <= now_s]:
             del self.expires_s[node]
-            del self.places[node]
+            del self.concurrency[node]
 
-    def _take_places(self, ask: LeaseAsk, now_s: float) -> int:
-        """Return the places for a node: what it uses already stays, more only if free."""
-        others = sum(places for node, places in self.places.items() if node != ask.node)
+    def _lease_concurrency(self, ask: LeaseAsk, now_s: float) -> int:
+        """Return how many requests a node may run: those it runs already, more only if free."""
+        others = sum(leased for node, leased in self.concurrency.items() if node != ask.node)
         free = max(0, self.share.concurrency - others)
-        places = max(ask.in_use, min(ask.wanted, free))
-        self.places[ask.node] = places
+        leased = max(ask.in_use, min(ask.wanted, free))
+        self.concurrency[ask.node] = leased
         self.expires_s[ask.node] = now_s + LEASE_S
-        return places
+        return leased
 
 
 @dataclass
@@ -115,7 +115,7 @@
 
     share: Share
     starts: float = 0.0
-    places: int = 0
+    concurrency: int = 0
     in_use: int = 0
     valid_until_s: float = 0.0
     own_part: bool = False
@@ -127,7 +127,7 @@
         """Take one start and one place, if the lease or the equal part has them."""
         if now_s >= self.valid_until_s:
             return False
-        if self.starts < 1 or self.in_use >= self.places:
+        if self.starts < 1 or self.in_use >= self.concurrency:
             return False
         self.starts -= 1
         self.in_use += 1
@@ -158,7 +158,7 @@
         kept = self.starts if now_s < self.valid_until_s and not self.own_part else 0.0
         self.own_part = False
         self.starts = kept + lease.starts
-        self.places = lease.places
+        self.concurrency = lease.concurrency
         self.retry_after_s = lease.retry_after_s
         self.valid_until_s = now_s + LEASE_S
 
@@ -172,13 +172,10 @@
         grown = self.starts + (now_s - self.refilled_s) * rate
         self.starts = min(max(1.0, rate * BURST_S), grown)
         self.refilled_s = now_s
-        self.places = self._equal_places(nodes)
+        self.concurrency = ceil(self.share.concurrency / nodes)
         self.retry_after_s = 1.0 / rate
         self.valid_until_s = now_s + LEASE_S
 
-    def _equal_places(self, nodes: int) -> int:
-        return ceil(self.share.concurrency / nodes)
-
 
 class LimitOwner:
     """All limits that this node owns."""
