--- a/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
@@ -13,7 +13,7 @@
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import TableStore
 from springbridge.classes.table.changes import Change, Snapshot, apply, decode_change, encode_change
-from springbridge.classes.table.freshness import Confirmation, may_serve
+from springbridge.classes.table.freshness import NEVER_S, Confirmation, may_serve
 from springbridge.classes.table.rows import build, updated
 from springbridge.membership import Membership
 
@@ -23,7 +23,6 @@
 INVARIANT_VERSION_GROWS = "table version only grows"
 POLL_S = 1.0
 CHANGES_KEPT = 200
-NEVER_S = -1e9
 DECISION_S = 0.1
 
 
--- a/packages/springbridge/springbridge/classes/endpoint_health.py
+++ b/packages/springbridge/springbridge/classes/endpoint_health.py
@@ -1,15 +1,36 @@
-"""Whether an endpoint works: one that fails in a row is suspended and probed back one at a time."""
+"""Endpoint health: how many slots of an endpoint may be used after it failed?
+
+Decided: whether an endpoint that failed several requests in a row is used. Inputs: failures in a
+row, a monotonic time in seconds and the slots that it has otherwise. Outcome: no slots while it is
+suspended, one slot until a request succeeds, then all of them. Why: a broken endpoint fails fast,
+so it would draw the requests of all entry nodes to itself; one request at a time tests it.
+No measurement set the constants.
+
+The node that schedules the endpoint decides for all nodes; in springbridge.routing each node ejects
+an endpoint by its own count, and uses it fully again once the ejection is over.
+"""
 
 from dataclasses import dataclass
 
+# Failures in a row before a suspension. Not measured; chosen so that one broken connection does not
+# take an endpoint out of use.
 FAILURES_TO_SUSPEND = 2
+# Length of the first suspension; it doubles with each failure after that. Not measured.
 FIRST_SUSPENSION_S = 0.5
+# Longest suspension, and so the longest time for which a repaired endpoint stays unused. Not
+# measured.
 MAX_SUSPENSION_S = 8.0
 
 
 @dataclass
 class EndpointHealth:
-    """Failures in a row at one endpoint and until when it is left alone."""
+    """The state of one endpoint.
+
+    Attributes:
+      failures: Failures in a row.
+      suspension_s: How long the next suspension lasts.
+      suspended_until_s: When the last suspension ends.
+    """
 
     failures: int = 0
     suspension_s: float = FIRST_SUSPENSION_S
@@ -17,7 +38,7 @@
 
     @property
     def suspect(self) -> bool:
-        """Return whether the endpoint has to prove itself with one request at a time."""
+        """Return whether the endpoint gets one request at a time until one succeeds."""
         return self.failures >= FAILURES_TO_SUSPEND
 
     def success(self) -> None:
--- a/packages/springbridge/springbridge/classes/placement.py
+++ b/packages/springbridge/springbridge/classes/placement.py
@@ -1,4 +1,12 @@
-"""Where a request may run: the places that its class and its customer both allow."""
+"""Placement: which endpoints may a request use?
+
+Decided: the endpoints that a request of a class and customer may be sent to. Inputs: the failure
+domains that the operators' table allows to the class and to the customer, and each endpoint's
+failure domain and target (model or service). Outcome: the failure domains that both allow, or
+NO_ALLOWED_PLACE; and in these, the endpoints whose target serves the class. Why: the failure
+domains say where a customer's data may be handled, so the rule only narrows, never widens. There
+are no constants.
+"""
 
 from collections.abc import Iterable
 
@@ -12,10 +20,10 @@
 def allowed_failure_domains(
     request_class: RequestClass, customer: Customer
 ) -> Result[frozenset[str], Problem]:
-    """Return the places that class and customer share.
+    """Return the failure domains that class and customer both allow.
 
     Returns:
-      The places, or NO_ALLOWED_PLACE where there is none.
+      The failure domains, or NO_ALLOWED_PLACE where they have none in common.
     """
     failure_domains = request_class.failure_domains & customer.failure_domains
     if not failure_domains:
@@ -26,7 +34,7 @@
 def allowed_endpoints(
     table: Table, request_class: RequestClass, failure_domains: Iterable[str]
 ) -> tuple[Endpoint, ...]:
-    """Return the endpoints in the given places that serve the class, ordered by name."""
+    """Return the endpoints in the failure domains that serve the class, ordered by name."""
     inside = frozenset(failure_domains)
     found = [
         endpoint
--- a/packages/springbridge/springbridge/classes/table/freshness.py
+++ b/packages/springbridge/springbridge/classes/table/freshness.py
@@ -1,12 +1,13 @@
-"""May this node serve under the table it holds? Written decision: docs/design/configuration.md.
-
-An accepted change has to be in force on every node that serves, within IN_FORCE_S. A node serves if
-it knows that its version was the newest at most STALE_S ago, by its own read of the platform's
-table or through a peer that read it. While the table is out for everybody, nobody can accept a
-change; then a node serves if it hears from a majority of all nodes and all of those find the
-table out too. A change is accepted only by a node that reaches the table and hears from a
-majority, and two majorities share a node, through which the change reaches those that lack the
-table.
+"""Table freshness: may this node serve under the table that it holds?
+
+Decided: whether a node serves. Inputs: seconds since its version was last known to be the newest
+(by its own read of the platform's table or through a peer that read it), whether the table is out
+here and at the peers, their versions, and whether it reaches a majority of all nodes. Outcome: it
+serves, or refuses with CONFIG_NOT_FRESH. Why: an accepted change has to be in force on every node
+that serves within IN_FORCE_S. While the table is out for everybody, nobody can accept a change, so
+a majority that finds it out may go on: a change is accepted only by a node that reaches the table
+and a majority, and two majorities share a node, through which the change reaches the others.
+The full argument is in docs/design/configuration.md; no measurement set the constants.
 """
 
 from collections.abc import Iterable
@@ -14,16 +15,29 @@
 
 from springbridge.membership import Member
 
+# Within what time of its acceptance a change has to be in force on every node that serves. A bound
+# that the rule keeps, not a measured figure.
 IN_FORCE_S = 4.0
+# How long a node serves without a confirmation of its version. Not measured; chosen between the
+# second from one read of the version to the next and IN_FORCE_S.
 STALE_S = 3.0
+# A confirmation that never was, on any clock.
+NEVER_S = -1e9
+
+assert STALE_S < IN_FORCE_S, "a node without news has to stop before a change counts as in force"
 
 
 @dataclass
 class Confirmation:
-    """When this node's version was last known to be the newest, on this node's clock."""
+    """When this node's version was last known to be the newest, on this node's clock.
+
+    Attributes:
+      version: Version of the table that this node holds; 0 for none.
+      table_out: Whether this node's last read of the platform's table failed.
+    """
 
     version: int = 0
-    confirmed_s: float = -1e9
+    confirmed_s: float = NEVER_S
     table_out: bool = True
 
     def confirmed(self, version: int, at_s: float) -> None:
@@ -48,13 +62,16 @@
 def may_serve(
     confirmation: Confirmation, now_s: float, sees_majority: bool, peers: Iterable[Member]
 ) -> bool:
-    """Return whether the node may serve under the version that it holds."""
+    """Return whether the node may serve under the version that it holds.
+
+    Args:
+      peers: The other nodes that this one reaches.
+    """
     if confirmation.version == 0:
         return False
-    peers = list(peers)
-    if any(peer.config_version > confirmation.version for peer in peers):
-        return confirmation.ago_s(now_s) <= STALE_S
     if confirmation.ago_s(now_s) <= STALE_S:
         return True
+    peers = list(peers)
+    behind = any(peer.config_version > confirmation.version for peer in peers)
     all_out = confirmation.table_out and all(peer.table_out for peer in peers)
-    return sees_majority and all_out
+    return sees_majority and all_out and not behind
