--- a/packages/springbridge-node/springbridge_node/class_router/requests/attempts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/attempts.py
@@ -107,7 +107,7 @@
         End.WHOLE: Outcome.DONE,
         End.PREEMPTED: Outcome.CANCELLED,
         End.TURNED_AWAY: Outcome.ENDPOINT_REFUSED,
-        End.BROKEN: Outcome.ENGINE_FAILED,
+        End.BROKEN: Outcome.ENDPOINT_FAILED,
     }[end]
 
 
--- a/packages/springbridge/springbridge/classes/decisions.py
+++ b/packages/springbridge/springbridge/classes/decisions.py
@@ -1,6 +1,8 @@
 """Messages between an entry node and the scheduler of an endpoint.
 
-They carry metadata only: a scheduler may stand in a place that must not see the content.
+An entry node sends an Ask, gets a Decision, and reports how the slot is used. The messages carry
+metadata only, because a scheduler may stand in a failure domain that must not see the content.
+Their fields go to peers by name (peer_codec.py of the node), so a rename needs an entry there.
 """
 
 from dataclasses import dataclass
@@ -16,13 +18,16 @@
     Attributes:
       ask_id: Names this ask; unique over all nodes and attempts.
       node: Incarnation of the entry node.
+      endpoint: Name of the endpoint.
+      weight: The customer's weight in the class, for fair queueing.
       fan: At how many endpoints the same attempt asks; its expected load is spread over them.
       max_wait_s: Longest time the ask may still wait.
       target_s: What is left of the latency target for the first token.
       first_s: The whole latency target for the first token.
       between_s: Latency target for the mean time between tokens.
+      prompt_tokens: Estimated length of the prompt.
       primary: Whether this endpoint was asked first; only there the ask preempts without delay.
-      preemptible: Whether the work may be stopped for a higher tier and run on elsewhere.
+      preemptible: Whether the work may be stopped for a higher tier and go on elsewhere.
     """
 
     ask_id: str
@@ -43,13 +48,21 @@
 
 
 class Outcome(IntEnum):
-    """How a slot was used."""
+    """How a slot was used.
+
+    Attributes:
+      UNUSED: The entry node sent nothing to the endpoint.
+      DONE: The endpoint answered whole.
+      CANCELLED: The entry node stopped the work.
+      ENDPOINT_REFUSED: The endpoint turned the work away before it started.
+      ENDPOINT_FAILED: Anything else went wrong at the endpoint.
+    """
 
     UNUSED = 0
     DONE = 1
     CANCELLED = 2
     ENDPOINT_REFUSED = 3
-    ENGINE_FAILED = 4
+    ENDPOINT_FAILED = 4
 
 
 @dataclass(frozen=True)
@@ -79,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Hold:
-    """Tells a new scheduler of a slot that the former one gave."""
+    """Reports to a new scheduler a slot that the former one gave."""
 
     ask: Ask
 
@@ -94,10 +107,12 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """The scheduler gives a slot; used_share tells how full the endpoint is now.
+    """The scheduler gives a slot.
 
-    The grant names the node that schedules, so that a slot which is no longer wanted can be given
-    back to it, also if it was frozen and another node has taken its role over.
+    Attributes:
+      scheduler: Incarnation of the node that schedules. A slot that is no longer wanted goes back
+        to it, even if it was frozen and another node has taken over its role.
+      used_share: Slots in use as a share of the slots for the ask's tier.
     """
 
     ask_id: str
@@ -108,7 +123,11 @@
 
 @dataclass(frozen=True)
 class Queued:
-    """The ask waits; the entry node had better ask at other endpoints too."""
+    """The ask waits, so the entry node should ask at other endpoints as well.
+
+    Attributes:
+      wait_s: The predicted wait. Entry nodes do not read it; it stays because it is on the wire.
+    """
 
     ask_id: str
     node: str
@@ -117,7 +136,7 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """The scheduler does not queue the ask, or gives it up; ask again after retry_after_s."""
+    """The scheduler does not queue the ask, or gives it up; it may be repeated after the time."""
 
     ask_id: str
     node: str
@@ -126,7 +145,7 @@
 
 @dataclass(frozen=True)
 class Preemption:
-    """The scheduler takes a slot back; the entry node stops the work and asks again."""
+    """The scheduler takes a slot back; the entry node stops the work and asks anew."""
 
     ask_id: str
     node: str
--- a/packages/springbridge/springbridge/classes/entities.py
+++ b/packages/springbridge/springbridge/classes/entities.py
@@ -1,7 +1,7 @@
 """The plain records of the domain: what the operators' table holds and what a request is.
 
-All of them are frozen; the functions over them live in the other modules. Times are seconds where
-a name ends in _s and milliseconds where it ends in _ms. Places are names of failure domains.
+All of them are frozen; the functions over them live in the other modules. Times are in seconds
+where a name ends in _s and in milliseconds where it ends in _ms.
 """
 
 from dataclasses import dataclass, field
@@ -30,9 +30,10 @@
     Attributes:
       first_token_ms: Latency target for the first token, from arrival at the entry node.
       between_tokens_ms: Latency target for the mean time between tokens.
-      max_wait_ms: Longest time a request may wait for an endpoint before it is given up.
-      repeatable: Whether a request of the class may be run more than once.
       target: The model or the service that serves the class.
+      max_wait_ms: Longest time that a request may wait for an endpoint before it is refused.
+      failure_domains: Where requests of the class may be handled.
+      repeatable: Whether a request of the class may be run more than once.
     """
 
     name: str
@@ -47,7 +48,12 @@
 
 @dataclass(frozen=True)
 class Customer:
-    """A customer, known by the SHA-256 hex digests of its keys."""
+    """A customer.
+
+    Attributes:
+      failure_domains: Where the customer's requests may be handled.
+      key_hashes: SHA-256 digests of its keys, in hex.
+    """
 
     name: str
     failure_domains: frozenset[str]
@@ -56,7 +62,13 @@
 
 @dataclass(frozen=True)
 class Share:
-    """Weight and limits of one customer in one class; the limits hold for the sum of all nodes."""
+    """Weight and limits of one customer in one class; the limits hold for the sum of all nodes.
+
+    Attributes:
+      weight: Share of the class's tier relative to other customers and classes.
+      rate_per_s: Requests that may start in a second.
+      concurrency: Requests that may run at a time.
+    """
 
     customer: str
     request_class: str
@@ -67,13 +79,13 @@
 
 @dataclass(frozen=True)
 class Endpoint:
-    """An endpoint or plain service that requests can be sent to.
+    """A model engine or a plain service that requests can be sent to.
 
     Attributes:
       address: IP number and port, such as 127.0.0.1:9000.
       failure_domain: Failure domain in which the endpoint stands.
-      target: The model it has loaded or the service it offers.
-      token_capacity: Tokens of prompt and answer that fit its memory at a time.
+      target: The model that it has loaded or the service that it offers.
+      token_capacity: Tokens of prompts and answers that fit its memory at a time.
       checks_tokens: Whether it compares the fencing token of an order itself.
     """
 
@@ -88,7 +100,13 @@
 
 @dataclass(frozen=True)
 class Table:
-    """The operators' table at one version; the version only ever grows."""
+    """The operators' table at one version.
+
+    Attributes:
+      version: It only ever grows; 0 stands for no table.
+      shares: By customer and class.
+      keys: Name of the customer by digest of a key, derived from the customers.
+    """
 
     version: int = 0
     classes: dict[str, RequestClass] = field(default_factory=dict)
@@ -100,13 +118,16 @@
 
 @dataclass(frozen=True)
 class Request:
-    """What coordination knows of a request: never its content.
+    """What coordination knows about a request; never its content.
 
     Attributes:
-      request_id: Name of the request, given by the caller or by the entry node.
+      request_id: Given by the caller or by the entry node.
+      weight: The customer's weight in the class.
+      repeatable: Whether the request may be run more than once.
       max_wait_s: Longest time it may wait, counted from arrival.
       arrived_s: Arrival at the entry node, on that node's monotonic clock.
       prompt_tokens: Estimated length of the prompt.
+      affinity: Requests with the same text prefer the same endpoint; empty for no preference.
     """
 
     request_id: str
--- a/packages/springbridge/springbridge/classes/invariants.py
+++ b/packages/springbridge/springbridge/classes/invariants.py
@@ -1,13 +1,15 @@
 """Invariants that the program asserts while it runs.
 
-A violation is counted and reported in every run. Test runs set abort, so that the process stops at
-the first one and leaves the log line as its last word.
+A violation is counted and reported in every run. Test runs set abort: the process ends at the first
+violation, whose log line is then the last one.
 """
 
 import os
 from collections import Counter
 from collections.abc import Callable
 
+# Exit status after a violation in test runs; the soak recognises it. Not measured; the EX_SOFTWARE
+# of sysexits.h, an internal software error.
 ABORT_STATUS = 70
 
 
--- a/packages/springbridge/springbridge/classes/request_ids.py
+++ b/packages/springbridge/springbridge/classes/request_ids.py
@@ -1,4 +1,4 @@
-"""Request ids that name their home: the only node that may run a request that is not repeatable.
+"""Request ids that name their home, the only node that may run a request that is not repeatable.
 
 An id reads ``<home incarnation>~<issued>~<unique>``. The first two parts come with the address
 answer as a prefix; the caller adds the unique part. Issued is the time of the address answer in
@@ -14,6 +14,7 @@
 from springbridge.problems import Problem
 
 SEPARATOR = "~"
+# One part of an id: at most 64 characters that need no escaping in a header.
 PART = r"[A-Za-z0-9._-]{1,64}"
 HOMED = re.compile(rf"({PART})~(\d{{1,12}})~({PART})\Z")
 HOMELESS = re.compile(rf"{PART}\Z")
@@ -21,7 +22,13 @@
 
 @dataclass(frozen=True)
 class RequestId:
-    """A request id; home is empty where the id does not name one."""
+    """A request id.
+
+    Attributes:
+      text: The id as the caller sent it.
+      home: Incarnation of the node that may run the request; empty where the id names none.
+      issued_s: Seconds since 1970; 0 where the id names no home.
+    """
 
     text: str
     home: str
--- a/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
@@ -121,7 +121,7 @@
 
     def learn_outcome(self, running: Running, release: Release, now_s: float) -> None:
         """Adjust health and estimates to how a slot ended."""
-        if release.outcome in (Outcome.ENGINE_FAILED, Outcome.ENDPOINT_REFUSED):
+        if release.outcome in (Outcome.ENDPOINT_FAILED, Outcome.ENDPOINT_REFUSED):
             self.health.failure(now_s)
         elif release.outcome is Outcome.DONE:
             self.health.success()
--- a/packages/springbridge/springbridge/classes/slots/scheduler_test.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler_test.py
@@ -169,7 +169,7 @@
 def test_failing_engine_is_suspended_and_probed_back(scheduler, make_ask, clock):
     for name in ("a", "b"):
         scheduler.ask(make_ask(name))
-        scheduler.release(release(name, Outcome.ENGINE_FAILED))
+        scheduler.release(release(name, Outcome.ENDPOINT_FAILED))
     assert_that(of_type(scheduler.ask(make_ask("c")), Queued), Equals(["c"]))
     clock.advance(FIRST_SUSPENSION_S + 0.1)
     assert_that(of_type(scheduler.tick(), Grant), Equals(["c"]))
--- a/packages/springbridge/springbridge/classes/stream.py
+++ b/packages/springbridge/springbridge/classes/stream.py
@@ -1,4 +1,10 @@
-"""Whole answers: every chunk must be the next one of the one stream it claims to belong to."""
+"""Whole answers: is this chunk the next one of its answer, and is the answer complete?
+
+Decided: whether a chunk is passed on. Inputs: its request id, its offset and its length in tokens.
+Outcome: the chunk, nothing for a repeated piece, or ANSWER_INCOMPLETE. Why: an answer that is
+joined from several attempts must have no gap, no overlap and no piece of another request. There
+are no constants.
+"""
 
 from dataclasses import dataclass
 
