--- a/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
@@ -132,7 +132,7 @@
         match await self._transact({key: row.version}, {key: orjson.dumps(value).decode()}):
             case Success(True):
                 spent_s = self._wall_clock() - now_s
-                return Success(OrderLease(endpoint, holder, epoch, ORDER_LEASE_S - spent_s))
+                return Success(OrderLease(epoch, ORDER_LEASE_S - spent_s))
             case Success(_):
                 return Failure(Problem(Code.ORDER_REFUSED, "another took the lease", endpoint))
             case Failure(problem):
--- a/packages/springbridge/springbridge/classes/binding.py
+++ b/packages/springbridge/springbridge/classes/binding.py
@@ -1,9 +1,13 @@
-"""At most once: the record that the home of a request keeps of it.
-
-Only the home runs a request that is not repeatable. begin_dispatch checks and records in one step
-without a pause in between, before the first byte leaves, so no order of events lets two attempts
-start. A request that was once refused, or handed to another node, stays refused here for ever; its
-record is kept KEEP_S, and ids issued longer ago than that are turned away unread.
+"""At most once: may an attempt of this request leave for an endpoint, and was it certainly not run?
+
+Decided: whether an attempt of a request that is not repeatable may start, and whether "not run" may
+be promised. Inputs: the id, customer and class of the sender, the record of the id at its home, and
+two clocks in seconds. Outcome: the attempt is recorded as dispatched, or refused with a problem.
+Why: only the home runs such a request, and begin_dispatch checks and records in one step without a
+pause, before the first byte leaves, so no order of events lets two attempts start. A request that
+was refused once, or handed over to another node, stays refused here for ever; its record is kept
+KEEP_S, and an id that is too old for its record to be certain is refused by its age. Ways weighed:
+docs/design/at-most-once.md; no measurement set the constants.
 """
 
 from collections import OrderedDict
@@ -18,16 +22,30 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
+# How long the record of a request that ended is kept. Not measured; it takes 297 B a record, so 3.9
+# MB at 22 requests a second (measured: docs/CAPACITY.md).
 KEEP_S = 600.0
+# How far the wall clock may be wrong when the age of an id is judged. Not measured. Derived from
+# it: an id is refused from KEEP_S less this on, before its record can have been forgotten.
 ISSUED_SLACK_S = 60.0
+
 INVARIANT_AT_MOST_ONCE = "not repeatable runs at most once"
 INVARIANT_NOT_RUN = "not run means never dispatched"
 
+assert ISSUED_SLACK_S < KEEP_S, "a new id would count as too old"
+
 
 class Stage(IntEnum):
-    """How far a request has come at its home."""
+    """How far a request has come at its home; the numbers go to peers.
+
+    Attributes:
+      WAITING: No attempt is out.
+      DISPATCHED: An attempt may have reached an endpoint.
+      FINISHED: It ended and may have run.
+      REFUSED: It was promised that it was not run, so it never will be.
+      MOVED: Another node became its home.
+    """
 
-    UNSEEN = 0
     WAITING = 1
     DISPATCHED = 2
     FINISHED = 3
@@ -37,10 +55,12 @@
 
 @dataclass
 class Record:
-    """What a home knows of one request.
+    """What a home knows about one request.
 
     Attributes:
-      owner: Customer and class of the first sender; a second sender must be the same.
+      owner: Customer and class of the first sender; a second sender must be the same. An empty one,
+        from a peer that sent none, matches any sender.
+      touched_s: When it was last used, on the monotonic clock; its age counts from then.
       moved_to: Incarnation of the node that became home instead, in stage MOVED.
       dispatches: Attempts that may have reached an endpoint and were not turned away by it.
       problem: The final problem, where the request ended with one.
@@ -59,7 +79,7 @@
 
 
 class Bindings:
-    """The records of all requests that this node is the home of."""
+    """The records of all requests whose home is this node."""
 
     def __init__(
         self,
@@ -82,33 +102,24 @@
         return len(self._records)
 
     def admit(self, request_id: RequestId, owner: str) -> Result[Record, Problem]:
-        """Record a request that arrived here, or return the record it has already.
+        """Record a request that arrived here, or return the record that it has already.
 
         Args:
           owner: Customer and class of the sender.
+        Returns:
+          The record, REQUEST_ID_TOO_OLD, or REQUEST_ID_REUSED if another sender used the id.
         """
-        self._forget_old()
-        record = self._records.get(request_id.text)
-        if record is None:
-            if self._too_old(request_id):
-                return Failure(Problem(Code.REQUEST_ID_TOO_OLD))
-            return Success(self._add(request_id.text, owner, Stage.WAITING))
-        if record.owner not in (owner, ""):
-            return Failure(Problem(Code.REQUEST_ID_REUSED))
-        return Success(record)
+        return self._find_or_add(request_id, owner, Stage.WAITING)
 
     def hand_over(self, request_id: RequestId, owner: str, node: str) -> Result[Record, Problem]:
-        """Answer a node that holds a retry: a request never seen here is handed over for good."""
-        self._forget_old()
-        record = self._records.get(request_id.text)
-        if record is None:
-            if self._too_old(request_id):
-                return Failure(Problem(Code.REQUEST_ID_TOO_OLD))
-            record = self._add(request_id.text, owner, Stage.MOVED)
-            record.moved_to = node
-        elif record.owner not in (owner, ""):
-            return Failure(Problem(Code.REQUEST_ID_REUSED))
-        return Success(record)
+        """Answer a node that holds a retry; a request never seen here becomes that node's for good.
+
+        Args:
+          node: Incarnation of the node that holds the retry.
+        Returns:
+          As for admit().
+        """
+        return self._find_or_add(request_id, owner, Stage.MOVED, node)
 
     def find(self, request_id: str) -> Record | None:
         """Return the record of a request, or None."""
@@ -125,7 +136,7 @@
         return Success(None)
 
     def undo_dispatch(self, request_id: str) -> None:
-        """Record that the endpoint turned the attempt away before it started."""
+        """Record that the endpoint turned the attempt away before starting it."""
         record = self._records[request_id]
         record.stage = Stage.WAITING
         record.dispatches -= 1
@@ -142,9 +153,10 @@
             record.stage = Stage.FINISHED
 
     def refuse(self, request_id: RequestId, owner: str) -> bool:
-        """Record that a request is refused for ever; return whether that can be promised.
+        """Refuse a request for ever.
 
-        It cannot where the request is under way here or has ended in another way.
+        Returns:
+          Whether "not run" can be promised; not if it is under way or has ended in another way.
         """
         match self.admit(request_id, owner):
             case Success(record) if record.stage is Stage.REFUSED:
@@ -168,9 +180,11 @@
                 return Success(None)
 
     def close_repeatable(self, request_id: str, problem: Problem | None) -> bool:
-        """Record how a repeatable request ended; return whether its problem stands as it is.
+        """Record how a repeatable request ended.
 
-        "Not run" does not stand where another attempt under the same id has run or still may.
+        Returns:
+          Whether its problem stands; "not run" does not if another attempt under the id has run or
+          still may.
         """
         record = self._records[request_id]
         record.running -= 1
@@ -183,13 +197,23 @@
         record.stage = Stage.REFUSED
         return True
 
-    def _add(self, request_id: str, owner: str, stage: Stage) -> Record:
-        record = Record(owner, stage, self._clock())
-        self._records[request_id] = record
-        return record
+    def _find_or_add(
+        self, request_id: RequestId, owner: str, stage: Stage, moved_to: str = ""
+    ) -> Result[Record, Problem]:
+        """Return the record of an id, which is made in the given stage if there is none."""
+        self._forget_old()
+        record = self._records.get(request_id.text)
+        if record is None:
+            if self._too_old(request_id):
+                return Failure(Problem(Code.REQUEST_ID_TOO_OLD))
+            record = Record(owner, stage, self._clock(), moved_to)
+            self._records[request_id.text] = record
+        elif record.owner not in (owner, ""):
+            return Failure(Problem(Code.REQUEST_ID_REUSED))
+        return Success(record)
 
     def _too_old(self, request_id: RequestId) -> bool:
-        """Return whether the record of the id may have been forgotten already."""
+        """Return whether the record of the id may be forgotten already, by the wall clock."""
         if not request_id.home:
             return False
         age_s = self._wall_clock() - request_id.issued_s
--- a/packages/springbridge/springbridge/classes/ports.py
+++ b/packages/springbridge/springbridge/classes/ports.py
@@ -1,4 +1,8 @@
-"""Ports: what coordination needs from the outside. The node package holds the adapters."""
+"""Ports: what the decisions need from outside; the node package holds the adapters.
+
+The platform's table and list of instances, the clients of endpoints, and the policy that gives
+slots.
+"""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -17,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Listed:
-    """An entry of the platform's list of instances, which lags."""
+    """An entry of the platform's list of instances, which lags behind the truth."""
 
     peer_address: str
     leaving: bool
@@ -39,8 +43,6 @@
       valid_s: Seconds, counted from before the write, for which the holder may act.
     """
 
-    endpoint: str
-    holder: str
     epoch: int
     valid_s: float
 
@@ -75,7 +77,7 @@
         """
 
     async def claim(self, request_id: str, node: str) -> Result[str, Problem]:
-        """Return the node that has the claim on an id without a home: the first to ask."""
+        """Return the node that claimed an id without a home first; this one if nobody had."""
 
     async def take_lease(self, endpoint: str, holder: str) -> Result[OrderLease, Problem]:
         """Take or renew the lease for orders to an endpoint, or return ORDER_REFUSED."""
@@ -86,6 +88,7 @@
     """One attempt at an endpoint.
 
     Attributes:
+      priority: Tier of the class; a lower number goes first.
       offset: Tokens of the answer that exist already; the endpoint goes on from there.
       prefix: Text of those tokens.
       body: What the caller sent.
@@ -101,7 +104,7 @@
 
 
 class EndpointClient(Protocol):
-    """One kind of endpoint or service."""
+    """Client of one kind of endpoint."""
 
     def run(self, endpoint: Endpoint, job: Job) -> AsyncIterator[Chunk]:
         """Start a job and yield its chunks.
@@ -120,7 +123,7 @@
         """
 
     async def cancel(self, endpoint: Endpoint, request_id: str) -> None:
-        """Stop a job; failures are ignored."""
+        """Stop a job; failures are ignored, since the endpoint may be gone."""
 
 
 class NotAdmittedError(Exception):
@@ -164,7 +167,7 @@
 
 
 class SlotSource(Protocol):
-    """A policy: which endpoint serves an attempt, and when."""
+    """A policy that decides which endpoint serves an attempt, and when."""
 
     async def acquire(self, attempt: Attempt) -> Result[Slot, Problem]:
         """Wait for a slot, or return the problem that refuses the attempt."""
