--- a/packages/springbridge/springbridge/classes/slots/baselines.py
+++ b/packages/springbridge/springbridge/classes/slots/baselines.py
@@ -1,4 +1,7 @@
-"""Baseline policies that springbridge is measured against; never the default."""
+"""Baseline policies for comparison, set by ``--policy``; never the default.
+
+docs/BENCH.md has the figures of a comparison with them.
+"""
 
 import asyncio
 import itertools
@@ -12,11 +15,15 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
+# Slots that each node uses at an endpoint. Not measured; four nodes then fill an endpoint to 24
+# streams, as in the comparison of docs/BENCH.md.
 SLOTS_PER_ENDPOINT = 6
+# When a refused request may come back. Not measured.
+RETRY_AFTER_S = 1.0
 
 
 class _LocalSlots:
-    """First-in first-out waiting at each node for a fixed number of slots per endpoint."""
+    """Each node waits first in, first out for a fixed number of slots of each endpoint."""
 
     def __init__(self) -> None:
         self._free: dict[str, asyncio.Semaphore] = {}
@@ -26,23 +33,23 @@
         raise NotImplementedError
 
     async def acquire(self, attempt: Attempt) -> Result[Slot, Problem]:
-        """Wait in line at the picked endpoint until the attempt's time is over."""
+        """Queue at the chosen endpoint until the attempt's wait is over."""
         if not attempt.endpoints:
-            return Failure(Problem(Code.NO_ENGINE, retry_after_s=1.0))
+            return Failure(Problem(Code.NO_ENGINE, retry_after_s=RETRY_AFTER_S))
         endpoint = self._pick(attempt)
         free = self._free.setdefault(endpoint.name, asyncio.Semaphore(SLOTS_PER_ENDPOINT))
         try:
             async with asyncio.timeout(attempt.wait_s):
                 await free.acquire()
         except TimeoutError:
-            return Failure(Problem(Code.WAIT_EXPIRED, retry_after_s=1.0))
+            return Failure(Problem(Code.WAIT_EXPIRED, retry_after_s=RETRY_AFTER_S))
         return Success(Slot(str(next(self._numbers)), endpoint))
 
     def sample(self, slot: Slot, sample: Sample) -> None:
-        """Learn nothing."""
+        """Ignore the sample: baselines learn nothing."""
 
     def release(self, slot: Slot, outcome: Outcome, sample: Sample) -> None:
-        """Let the next in line go."""
+        """Give the slot to the next attempt in the queue."""
         self._free[slot.endpoint.name].release()
 
     async def preempted(self, slot: Slot) -> None:
--- a/packages/springbridge/springbridge/classes/slots/concurrency.py
+++ b/packages/springbridge/springbridge/classes/slots/concurrency.py
@@ -1,43 +1,78 @@
-"""How many requests an endpoint takes at a time, learnt from the latencies that entry nodes see.
-
-Each tier has its own limit: the number in flight up to which the endpoint meets that tier's
-targets. An endpoint that runs a stream of a tier keeps to that tier's limit; one without urgent
-streams may fill up to what the lower tiers' looser targets allow, so throughput is not given away
-where nobody needs the speed.
-
-A limit moves by additive increase and multiplicative decrease: a good sample near the limit adds
-one slot per round, more where the latency is far from the target; a sample above the target takes a
-tenth, at most once per COOL_S. A sample taken far from a limit tells nothing about it. Load reports
-play no part, since they lag.
+"""Concurrency limits: how many requests does an endpoint take at a time?
+
+Decided: the slots of an endpoint, for each tier. Inputs: times to the first token and between
+tokens as shares of their targets, the requests in flight at that moment, and a monotonic time in
+seconds. Outcome: the number in flight up to which the endpoint meets a tier's targets. An endpoint
+keeps to the limits of the tiers that it runs; without urgent streams it fills up to what the looser
+targets of the lower tiers allow, so no throughput is given away where nobody needs the speed.
+
+Why: entry nodes see latencies at once, while load reports lag. A limit moves by additive increase
+and multiplicative decrease. A good sample near the limit adds one slot per round, more where the
+latency is far below the target; one above the target takes a tenth, at most once per COOL_S. A
+sample taken far from a limit says nothing about it.
+
+In one run of a burst on stand-in engines, urgent classes met their targets in 0.75 to 0.89 of cases
+with one limit for each endpoint and TARGET_SHARE 0.95, and in 1.00 with a limit for each tier and
+0.85. Both changed in one step, so it is not known which did it. No other constant was measured.
 """
 
 from dataclasses import dataclass, field
 
 from springbridge.classes.entities import Tier
 
+# Slots of an endpoint before its first sample. Not measured.
 FIRST_LIMIT = 8.0
+# Floor of a limit, in slots. Below one slot, so that an endpoint too slow for a tier has none for
+# it. Not measured.
 SMALLEST_LIMIT = 0.5
+# Slots that a late request finds even where the limit says none, and from which a limit is tried
+# again after STALE_S. Not measured; chosen small, since the endpoint was too slow at the last look.
 LATE_LIMIT = 2.0
+# Ceiling of a limit, in slots; it only keeps a limit from growing without end. Not measured.
 MAX_LIMIT = 512.0
+# What a sample above the target leaves of the limit. Not measured.
 DECREASE = 0.9
+# Slots that a round of good samples adds where the latency is far below its target. Not measured.
 FASTEST_INCREASE = 4.0
+# Share of the target up to which a latency counts as good; the rest is a margin for the time that
+# the limit takes to follow. Compared with 0.95 only together with another change; see above.
 TARGET_SHARE = 0.85
+# Seconds between two decreases, so that one slow moment, which many streams see, counts once. Not
+# measured.
 COOL_S = 0.4
+# In flight as a share of the limit: from here on a good sample may raise it. Not measured.
 NEAR_BELOW = 0.75
+# In flight as a share of the limit: beyond this a sample says nothing about it. Not measured.
 NEAR_ABOVE = 1.15
+# A limit without a sample for so long is tried again with LATE_LIMIT slots, in case the endpoint
+# has become faster. Not measured.
 STALE_S = 5.0
 
+assert SMALLEST_LIMIT < 1 <= LATE_LIMIT <= FIRST_LIMIT <= MAX_LIMIT
+assert NEAR_BELOW < 1 < NEAR_ABOVE
+
 
 @dataclass
 class TierLimit:
-    """The learnt limit of one tier at one endpoint."""
+    """The learnt limit of one tier at one endpoint.
+
+    Attributes:
+      limit: In slots, with a fraction.
+      cool_until_s: No decrease before this time.
+      learnt_s: When a sample last said something about the limit.
+    """
 
     limit: float = FIRST_LIMIT
     cool_until_s: float = 0.0
     learnt_s: float = 0.0
 
     def learn(self, now_s: float, pressure: float, in_flight: int) -> None:
-        """Take in one latency, as a share of its target, seen with this many in flight."""
+        """Adjust the limit to one latency.
+
+        Args:
+          pressure: The latency as a share of its target.
+          in_flight: Requests that the endpoint had at a time.
+        """
         if in_flight > max(LATE_LIMIT, NEAR_ABOVE * self.limit):
             return
         self.learnt_s = now_s
@@ -55,7 +90,7 @@
         self.cool_until_s = now_s + COOL_S
 
     def slots(self, now_s: float) -> int:
-        """Return the limit in whole slots; one that was not tested for long is tried again."""
+        """Return the limit in whole slots; one without a sample for STALE_S is tried again."""
         if now_s - self.learnt_s > STALE_S:
             self.limit = max(LATE_LIMIT, self.limit)
         return int(self.limit)
@@ -63,7 +98,11 @@
 
 @dataclass
 class EndpointLimits:
-    """The learnt limits of one endpoint."""
+    """The learnt limits of one endpoint.
+
+    Attributes:
+      targets_s: Targets between tokens of the classes seen in each tier, by class.
+    """
 
     tiers: dict[Tier, TierLimit] = field(
         default_factory=lambda: {tier: TierLimit() for tier in Tier}
@@ -77,15 +116,18 @@
         self.targets_s[tier][request_class] = between_s
 
     def learn_between(self, now_s: float, between_s: float, in_flight: int) -> None:
-        """Take in the time between tokens of one stream: it tells about all tiers."""
+        """Adjust all tiers' limits to the time between tokens of one stream.
+
+        A batch has one speed, so a stream of any tier shows what the others get.
+        """
         for tier, targets in self.targets_s.items():
             if targets:
                 self.tiers[tier].learn(now_s, between_s / min(targets.values()), in_flight)
 
     def learn_first(self, now_s: float, tier: Tier, pressure: float, in_flight: int) -> None:
-        """Take in the time to a first token, as a share of its target."""
+        """Adjust one tier's limit to the time to a first token, as a share of its target."""
         self.tiers[tier].learn(now_s, pressure, in_flight)
 
     def slots(self, now_s: float, tiers: set[Tier]) -> int:
-        """Return how many requests the endpoint takes if those of these tiers are to be in time."""
+        """Return how many requests the endpoint takes while these tiers meet their targets."""
         return min(self.tiers[tier].slots(now_s) for tier in tiers)
--- a/packages/springbridge/springbridge/classes/slots/fair_queue.py
+++ b/packages/springbridge/springbridge/classes/slots/fair_queue.py
@@ -1,8 +1,11 @@
-"""The order in which asks are served at one endpoint.
-
-Tiers are strict. Inside a tier, customers and classes share by weight (start-time fair queueing:
-a flow's next start tag grows by cost over weight). A lower tier that was passed over
-MIN_SHARE_GRANTS times in a row is owed one grant, so that every class is served in the end.
+"""Fair order: which waiting ask of an endpoint is served next?
+
+Decided: the next ask. Inputs: tier, customer, class and weight of the asks, their expected work in
+tokens, and how often each tier was passed over. Outcome: one ask, or none. Tiers are strict; inside
+a tier, customers and classes share by weight (start-time fair queueing: a flow's next start tag
+grows by cost over weight). A lower tier that was passed over MIN_SHARE_GRANTS times in a row is
+owed one grant. Why: the urgent go first, a customer cannot crowd out the others of its tier, and
+every class is served in the end. No measurement set the constants.
 """
 
 import heapq
@@ -11,13 +14,28 @@
 from springbridge.classes.decisions import Ask
 from springbridge.classes.entities import Tier
 
+# Grants to higher tiers after which a lower tier is owed one, so it gets at least one in 21. Not
+# measured.
 MIN_SHARE_GRANTS = 20
+# Share of its latency target after which a waiting ask counts as late. It then preempts at every
+# endpoint and is served by one that is too slow for its tier. Not measured.
 LATE_TARGET_SHARE = 0.5
+# Idle flows are dropped once there are more flows than this beside two for each entry of the heap,
+# so that the clean-up costs little on average and memory stays bounded. Not measured.
+IDLE_FLOWS = 16
 
 
 @dataclass(order=True)
 class Entry:
-    """An ask in the queue, ordered by its start tag and then by arrival."""
+    """An ask in the queue, ordered by its start tag and then by arrival.
+
+    Attributes:
+      tag: Start tag in expected tokens over weight.
+      number: Count of arrivals.
+      expires_s: When its wait ends.
+      late_s: When it counts as late.
+      gone: Whether it was removed; the heap drops it later.
+    """
 
     tag: float
     number: int
@@ -28,7 +46,7 @@
 
 
 class TierQueue:
-    """Start-time fair queue of one tier."""
+    """Start-time fair queue of one tier; a flow is a customer and a class."""
 
     def __init__(self) -> None:
         self._heap: list[Entry] = []
@@ -36,7 +54,7 @@
         self._virtual = 0.0
 
     def push(self, ask: Ask, number: int, cost: float, now_s: float) -> Entry:
-        """Queue an ask whose expected work is cost and return its entry."""
+        """Queue an ask whose expected work is cost, in tokens, and return its entry."""
         flow = (ask.customer, ask.request_class)
         tag = max(self._virtual, self._finish.get(flow, 0.0))
         self._finish[flow] = tag + cost / ask.weight
@@ -61,8 +79,8 @@
         return entry
 
     def _forget_idle_flows(self) -> None:
-        """Drop flows that have nothing owed, once there are many."""
-        if len(self._finish) <= 2 * len(self._heap) + 16:
+        """Drop flows whose tag lies in the past, once there are many; a new ask makes them anew."""
+        if len(self._finish) <= 2 * len(self._heap) + IDLE_FLOWS:
             return
         self._finish = {flow: tag for flow, tag in self._finish.items() if tag > self._virtual}
 
@@ -91,7 +109,7 @@
         self._load[ask.tier] += 1.0 / ask.fan
 
     def discard(self, ask_id: str) -> Ask | None:
-        """Remove an ask wherever it stands and return it, or None if it is not queued."""
+        """Remove an ask from wherever it is and return it, or None if it is not queued."""
         entry = self._entries.pop(ask_id, None)
         if entry is None:
             return None
@@ -100,7 +118,7 @@
         return entry.ask
 
     def next_tier(self) -> Tier | None:
-        """Return the tier that is served next, or None where nothing waits."""
+        """Return the tier that is served next, or None if nothing waits."""
         waiting = [tier for tier in Tier if self._tiers[tier].peek() is not None]
         if not waiting:
             return None
@@ -124,13 +142,15 @@
         return entry.ask
 
     def load_ahead(self, tier: Tier) -> float:
-        """Return how many asks a new ask of the tier would find ahead of it."""
+        """Return how many asks a new ask of the tier would find ahead of it.
+
+        An ask that waits at several endpoints counts for its part at each.
+        """
         return sum(self._load[other] for other in Tier if other <= tier)
 
-    def waiting(self, tier: Tier | None = None) -> list[Ask]:
-        """Return the waiting asks, of one tier or of all."""
-        entries = self._entries.values()
-        return [entry.ask for entry in entries if tier is None or entry.ask.tier is tier]
+    def waiting(self) -> list[Ask]:
+        """Return the waiting asks."""
+        return [entry.ask for entry in self._entries.values()]
 
     def below(self, tier: Tier) -> list[Ask]:
         """Return the waiting asks of lower tiers, the lowest tier first."""
--- a/packages/springbridge/springbridge/classes/slots/minimum_share.py
+++ b/packages/springbridge/springbridge/classes/slots/minimum_share.py
@@ -1,20 +1,31 @@
-"""The slot that keeps lower tiers moving while the top tier alone overloads an endpoint.
-
-While top-tier requests are refused, nothing of a lower tier may wait. A lower-tier ask is then
-either refused at once or given one slot beyond the learnt limit; that slot goes to the class that
-has been without it longest. It takes nothing from the top tier's slots and its work is not
-preempted, so every class gets through in the end.
+"""Minimum share: may a lower tier run one request while the top tier overloads an endpoint?
+
+Decided: whether an ask of a lower tier gets the one slot beyond the learnt limit. Inputs: the
+times, in seconds, at which top-tier asks were refused and at which each class asked and got the
+slot. Outcome: the slot, for the class that has been without it longest, or a refusal at once. Why:
+while top-tier requests are refused nothing of a lower tier may wait, and yet every class has to get
+through in the end. The slot takes nothing from the top tier's, and its work is not preempted. No
+measurement set the constants.
 """
 
 from dataclasses import dataclass, field
 
+# How long after a refused top-tier ask lower tiers may not wait. Not measured.
 PRESSURE_S = 2.0
+# How long a class that asked counts when the slot goes to the class that lacked it longest. A class
+# that asks less often does not hold the slot back from the others. Not measured.
 INTEREST_S = 10.0
 
 
 @dataclass
 class MinimumShare:
-    """Who may use the extra slot of one endpoint."""
+    """The extra slot of one endpoint.
+
+    Attributes:
+      holder: Id of the ask that has it.
+      served_s: When each class last got it.
+      asked_s: When each class last asked for it.
+    """
 
     pressed_until_s: float = 0.0
     holder: str | None = None
@@ -22,15 +33,15 @@
     asked_s: dict[str, float] = field(default_factory=dict)
 
     def press(self, now_s: float) -> None:
-        """Note that a top-tier ask is being refused."""
+        """Note that a top-tier ask is refused now."""
         self.pressed_until_s = now_s + PRESSURE_S
 
     def pressed(self, now_s: float) -> bool:
-        """Return whether top-tier asks were refused just now."""
+        """Return whether a top-tier ask was refused less than PRESSURE_S ago."""
         return now_s < self.pressed_until_s
 
     def claim(self, ask_id: str, request_class: str, now_s: float) -> bool:
-        """Give the extra slot to an ask of a lower tier, if it is free and the class's turn."""
+        """Give the extra slot to a lower-tier ask if it is free and it is the class's turn."""
         self.asked_s[request_class] = now_s
         if self.holder is not None or not self._is_turn(request_class, now_s):
             return False
