--- a/packages/springbridge/springbridge/classes/slots/slots.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -30,7 +30,7 @@
 from springbridge.classes.entities import Endpoint, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import Attempt, Slot
-from springbridge.classes.slots.slot_asks import (
+from springbridge.classes.slots.pending_asks import (
     AskTerms,
     Held,
     Pending,
@@ -55,7 +55,7 @@
 Send = Callable[[str, ToScheduler], None]
 
 
-class ScheduledSlots:
+class SlotClient:
     """The slot source that asks the schedulers of the endpoints."""
 
     def __init__(
