--- a/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
@@ -22,6 +22,8 @@
     identify,
 )
 
+# Characters of a prompt that are counted as one token when its memory at an endpoint is estimated.
+# A rule of thumb for English text; not measured.
 CHARS_PER_TOKEN = 4
 EVENT_STREAM = "text/event-stream"
 
@@ -119,6 +121,8 @@
                 self.write(event(answer.request_id, chunk))
                 await self.flush()
         except StreamClosedError:
+            # The caller is gone, so nobody is left to answer; how the request ended is logged
+            # below.
             return
         if answer.problem is not None and not started:
             self.refuse(answer.problem)
--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -21,6 +21,8 @@
 from springbridge_node.class_router.requests.class_admission import Admitted, admit
 from springbridge_node.class_router.requests.limit_gate import finishing
 
+# How long the rest of a refused body is read and thrown away before the connection is closed. A
+# sender that was cut off at once saw a reset in place of the answer; the length is not measured.
 DISCARD_S = 2.0
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -16,6 +16,7 @@
 )
 from springbridge.classes.entities import EndpointKind
 from springbridge.classes.invariants import Invariants
+from springbridge.classes.limits import LEASE_S
 from springbridge.classes.ports import InstanceList, TableStore
 from springbridge.classes.slots.slots import ScheduledSlots
 from springbridge.membership import GOSSIP_INTERVAL_S, Member, Membership
@@ -51,16 +52,32 @@
 from springbridge_node.class_router.serve_settings import Settings, split
 from springbridge_node.periodic import every, guarded
 
+# Interval of reading the platform's list of instances. It only seeds the membership, which gossip
+# corrects within seconds. Not measured.
 LIST_POLL_S = 2.0
-RENEW_TICKS = int(0.4 / TICK_S)
-GOSSIP_TICKS = int(GOSSIP_INTERVAL_S / TICK_S)
-INVENTORY_TICKS = int(1.0 / TICK_S)
-TIDY_TICKS = int(5.0 / TICK_S)
+# Interval of renewing leases in use: twice within a lease, so that one lost message does no harm.
+RENEW_INTERVAL_S = 0.4
+# Interval of telling the schedulers which slots this node holds; a release that was lost blocks its
+# slot for up to this long. Not measured.
+INVENTORY_INTERVAL_S = 1.0
+# Interval of forgetting old members, limits and schedulers; it bounds memory only. Not measured.
+TIDY_INTERVAL_S = 5.0
+# Added to the time for which callers may keep an address, before a leaving node refuses requests.
+# It covers an address answer that was on its way when the node began to leave. Not measured.
 LEAVE_MARGIN_S = 0.5
+# Interval of looking whether requests still run, and the time that the last digest gets to leave.
+# Not measured; it delays the end of a planned stop by this much at most.
 DRAIN_POLL_S = 0.1
+# Time after the last request in which peers can still read the end of an answer that they relay.
+# Not measured.
 LINGER_S = 1.0
+# Largest body in bytes that the HTTP server lets a handler read. It is far above the setting
+# max_body_bytes, so that the handler answers BODY_TOO_LARGE and the server does not cut the sender
+# off.
 LARGEST_DISCARDED_BYTES = 1 << 30
 
+assert 2 * RENEW_INTERVAL_S < LEASE_S, "a lease has to outlive one lost renewal"
+
 
 class Node:
     """One node process."""
@@ -215,12 +232,14 @@
             self.links.send(member.peer_address, digest)
 
     async def _read_list(self) -> None:
-        """Take in the platform's list; its failures are the platform's outages."""
+        """Take in the platform's list of instances."""
         match await self.listing.instances():
             case Success(listed):
                 addresses = {entry.peer_address for entry in listed if not entry.leaving}
                 self.membership.set_listed(addresses)
             case Failure(_):
+                # The last list stays in use. It is only a seed, so an outage of it does no harm
+                # while gossip keeps the members; an outage of the table shows in the heartbeats.
                 pass
 
     # Life.
@@ -268,11 +287,11 @@
         steps = {
             self.roles.check: 1,
             self.hosts.tick: 1,
-            self.limits.renew_in_use: RENEW_TICKS,
-            self._gossip: GOSSIP_TICKS,
-            self._drop_silent: GOSSIP_TICKS,
-            self._send_inventories: INVENTORY_TICKS,
-            self._tidy: TIDY_TICKS,
+            self.limits.renew_in_use: _ticks(RENEW_INTERVAL_S),
+            self._gossip: _ticks(GOSSIP_INTERVAL_S),
+            self._drop_silent: _ticks(GOSSIP_INTERVAL_S),
+            self._send_inventories: _ticks(INVENTORY_INTERVAL_S),
+            self._tidy: _ticks(TIDY_INTERVAL_S),
         }
         for tick in itertools.count():
             for step, ticks in steps.items():
@@ -299,5 +318,11 @@
     async def _end_tasks(self) -> None:
         for task in self._tasks:
             task.cancel()
+        # They were cancelled just now, so what they raise is that.
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.links.close()
+
+
+def _ticks(interval_s: float) -> int:
+    """Return an interval in ticks of the node's timer."""
+    return int(interval_s / TICK_S)
--- a/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
@@ -21,9 +21,20 @@
 from springbridge_node.class_router.peers.messages import ConfigDelta, ConfigPull, Message
 
 INVARIANT_VERSION_GROWS = "table version only grows"
+# Interval of reading the platform's version. Bound: one read that times out must not cost the 3 s
+# of freshness (1 s + 0.8 s + 1 s). At the planned size 380 nodes make 380 reads a second.
 POLL_S = 1.0
+# Shortest time between two requests to peers for missing changes. Digests arrive more often than a
+# pull is answered. Not measured.
+PULL_INTERVAL_S = POLL_S / 4
+# Changes kept for peers that lag, and the most that are read singly before all rows are read anew.
+# Not measured; a little over an hour's changes at 4,200 a day.
 CHANGES_KEPT = 200
+# A time on the monotonic clock before any other: the version was never confirmed.
 NEVER_S = -1e9
+# How long a decision to serve stands. Measured: deciding anew looks at all members and costs 1.5
+# ms at 380 nodes (2.6 us a member for the majority, 1.4 us for the live ones), too much for each
+# request.
 DECISION_S = 0.1
 
 
@@ -69,6 +80,8 @@
                 if version <= self.snapshot.version:
                     self.confirmation.confirmed(version, asked_s)
             case Failure(_):
+                # Not logged: heartbeats and status carry table_out, and without fresh confirmations
+                # the node stops serving with a code of its own.
                 self.confirmation.table_out = True
 
     async def _catch_up(self, version: int) -> None:
@@ -79,6 +92,7 @@
                 case Success(changes):
                     self.apply_changes(changes)
                     return
+        # A failure leaves the version behind and unconfirmed; the next poll tries again.
         match await self._store.snapshot():
             case Success(snapshot):
                 self.put_snapshot(snapshot)
@@ -130,7 +144,7 @@
         peers = self._membership.reachable()
         self.confirmation.learn_from(peers, now_s)
         ahead = [peer for peer in peers if peer.config_version > self.snapshot.version]
-        if ahead and now_s - self._pulled_s > POLL_S / 4:
+        if ahead and now_s - self._pulled_s > PULL_INTERVAL_S:
             self._pulled_s = now_s
             newest = max(ahead, key=lambda peer: peer.config_version)
             pull = ConfigPull(self._membership.me.incarnation, self.snapshot.version)
--- a/packages/springbridge-node/springbridge_node/class_router/config/editing.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/editing.py
@@ -16,8 +16,13 @@
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.endpoints.endpoint_http import ModelClient
 
+# Tries to commit an edit that keeps losing races against edits of other rows. Not measured.
 COMMIT_TRIES = 5
+# What must be left of a lease (10 s) when an order goes to an endpoint that checks no fencing
+# token. It covers a pause of the node between this check and the send; a longer one is not
+# covered.
 LEASE_MARGIN_S = 5.0
+# When an operator may try again while the table is out: two intervals of reading it. Not measured.
 OUTAGE_RETRY_S = 2.0
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
@@ -18,11 +18,21 @@
 from springbridge.problems import Problem
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
+# Longest wait for a read. Derived: it stays below the 1 s between two reads of the version, so
+# that a silent service is noticed within the 3 s for which a confirmation is fresh.
 READ_TIMEOUT_S = 0.8
+# Longest wait for a transaction. Longer than a read, since a lost reply has to be settled by
+# reading back. Not measured.
 WRITE_TIMEOUT_S = 2.0
+# Looks at the table for a change whose reply was lost before the outcome is given as unknown. With
+# the pause it bridges an outage of 1.5 s; a longer one ends with EDIT_UNKNOWN. Not measured.
 SETTLE_TRIES = 5
+# Pause before each of these looks: a write that is late may still take effect. Not measured.
 SETTLE_PAUSE_S = 0.3
+# When a caller may try again after an outage of the table: two of the node's reads. Not measured.
 RETRY_AFTER_S = 2.0
+# Length of a lease for orders. It bounds how long a dead holder keeps others out, and leaves 5 s to
+# send after the margin that editing.py takes off. Not measured.
 ORDER_LEASE_S = 10.0
 
 ROWS = "rows/"
@@ -107,6 +117,7 @@
         match await self._transact({key: 0}, {key: node}):
             case Success(True):
                 return Success(node)
+        # Refused, or the reply was lost: the row says who has the claim in both cases.
         row = await self._row(key)
         return row.bind(_claimed)
 
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/endpoint_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/endpoint_http.py
@@ -1,7 +1,7 @@
 """Adapters for model engines and plain services, over HTTP.
 
 An endpoint streams server-sent events whose chunks carry the request id and the offset. It turns a
-job away before it starts with status 429 or 503 and the header ``Endpoint-Admitted: no``; only that
+job away before it starts with status 429 or 503 and the header ``Engine-Admitted: no``; only that
 answer, or a connection that was refused, proves that the job did not start.
 """
 
@@ -17,11 +17,21 @@
 from tornado.netutil import Resolver
 from tornado.simple_httpclient import HTTPTimeoutError
 
+# Longest wait for a connection. Running out proves that the job did not start, so another endpoint
+# may get it. Not measured.
 CONNECT_TIMEOUT_S = 1.0
+# Longest stream. The HTTP client needs some bound; the runner ends a silent stream far earlier.
 LONGEST_ANSWER_S = 4 * 3600.0
+# Longest wait for what an endpoint answers at once: cancellations, load reports, orders. Not
+# measured.
 SHORT_TIMEOUT_S = 2.0
+# Longest wait for a plain service, which sends nothing before its whole answer. Not measured.
 SERVICE_TIMEOUT_S = 60.0
+# Requests that the HTTP client runs at a time. The schedulers limit what is sent to endpoints, so
+# this stays above what a node is granted: 580 streams at the planned size (docs/CAPACITY.md).
 MAX_CLIENTS = 5000
+# Largest answer in bytes that the HTTP client takes. A stream is not kept by the client, so this
+# must only lie above any answer. Not measured.
 MAX_ANSWER_BYTES = 1 << 30
 ADMITTED_HEADER = "Engine-Admitted"
 ID_HEADER = "Request-Id"
@@ -107,7 +117,11 @@
         return self._stream(HTTPRequest(_url(endpoint, path)))
 
     async def cancel(self, endpoint: Endpoint, request_id: str) -> None:
-        """Stop a job; failures are ignored, since the endpoint may be gone."""
+        """Stop a job; the endpoint's answer does not matter, since it may not know the job.
+
+        Raises:
+          HTTPClientError, OSError: The endpoint cannot be reached.
+        """
         url = _url(endpoint, f"/v1/streams/{request_id}/cancel")
         request = HTTPRequest(url, method="POST", body=b"", request_timeout=SHORT_TIMEOUT_S)
         await self._client.fetch(request, raise_error=False)
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/load_reports.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/load_reports.py
@@ -7,6 +7,7 @@
 
 from springbridge_node.class_router.endpoints.endpoint_http import ModelClient
 
+# Interval of reading load reports. Not measured.
 POLL_S = 0.5
 
 
@@ -35,4 +36,6 @@
         try:
             self._loads[endpoint.name] = await self._client.reported_load(endpoint)
         except Exception:
+            # An endpoint that does not report counts as full until it does. Not logged: it would be
+            # a line for each endpoint that is out, twice a second, and only for a baseline.
             self._loads[endpoint.name] = float("inf")
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -21,6 +21,8 @@
 from springbridge_node.class_router.peers.peer_links import PeerLinks
 
 TOKEN_HEADER = "Springbridge-Operator-Token"
+# Changes in one answer of the audit trail; `after` asks for the next. Bounds the scan of the
+# platform's table. Not measured.
 AUDIT_LIMIT = 1000
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -92,6 +92,7 @@
 
     @_take.register
     def _(self, ask: HandOver) -> None:
+        # An id that does not parse gets no answer; the asker then finds the outcome unknown.
         match request_ids.parse(ask.request_id):
             case Success(request_id):
                 self._parts.home.answer_hand_over(ask, request_id)
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
@@ -20,9 +20,17 @@
 from springbridge_node.class_router.peers.proto.peer_grpc import PeerStub
 from springbridge_node.class_router.serve_settings import split
 
+# Messages that wait for a peer that takes none; then the oldest are dropped. Bounds memory: 0.9 MB
+# at the 90 bytes that a message takes on the wire (docs/CAPACITY.md).
 QUEUE_LIMIT = 10_000
+# Mean pause before a broken stream is opened again, drawn from half to one and a half of it so that
+# nodes do not come back in step. Not measured; below the 0.5 s between two digests.
 RECONNECT_S = 0.2
+# A stream that carried nothing for this long is closed. Bounds the open
+# connections of a large fleet, where digests go to another random peer each time. Not measured.
 IDLE_CLOSE_S = 30.0
+# Longest wait for a connection to a peer, below the 2.5 s after which a silent member is suspected.
+# Not measured.
 CONNECT_TIMEOUT_S = 1.0
 TOKEN_KEY = "authorization"
 NODE_KEY = "springbridge-node"
@@ -55,8 +63,11 @@
             try:
                 await self._talk(on_open)
             except TimeoutError:
+                # Idle for IDLE_CLOSE_S; the next message opens a new stream.
                 return
             except Exception:
+                # A peer that is gone breaks its streams in many ways, several times a second. Not
+                # logged here: on_break has the membership suspect it, which the status shows.
                 on_break()
                 self._queue.clear()
             await asyncio.sleep(RECONNECT_S * random.uniform(0.5, 1.5))
@@ -139,6 +150,7 @@
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
+        # They were cancelled just now, so what they raise is that.
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _open(self, address: str) -> PeerLink:
--- a/packages/springbridge-node/springbridge_node/class_router/requests/attempts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/attempts.py
@@ -10,8 +10,17 @@
 from springbridge.codes import Code, Fate
 from springbridge.problems import Problem
 
+# Silence that counts as a stall, in latency targets between tokens: 2 s at a target of 65 ms.
+# Not measured.
 STALL_TARGETS = 30
+# Shortest silence that counts as a stall, so that a short pause of an endpoint with tight targets
+# does not end its streams. Not measured.
 SHORTEST_STALL_S = 2.0
+# The same in latency targets for the first token. Not measured; twice leaves room for a long
+# prompt.
+FIRST_TOKEN_TARGETS = 2
+# Silence that counts as a stall at a plain service, which sends nothing before its whole answer;
+# the same as the HTTP client's longest wait for one.
 SERVICE_STALL_S = 60.0
 
 
@@ -98,7 +107,7 @@
         return SERVICE_STALL_S
     target_s = request.request_class.between_tokens_ms / 1000
     first_s = request.request_class.first_token_ms / 1000
-    return max(SHORTEST_STALL_S, STALL_TARGETS * target_s, 2 * first_s)
+    return max(SHORTEST_STALL_S, STALL_TARGETS * target_s, FIRST_TOKEN_TARGETS * first_s)
 
 
 def outcome_of(end: End) -> Outcome:
--- a/packages/springbridge-node/springbridge_node/class_router/requests/class_admission.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/class_admission.py
@@ -17,6 +17,8 @@
 REPEATABLE_HEADER = "Springbridge-Repeatable"
 AFFINITY_HEADER = "Springbridge-Affinity"
 BEARER = "Bearer "
+# Most digits of a wait in milliseconds (11 days), so that int() is never given a huge number.
+WAIT_DIGITS = 9
 
 
 @dataclass(frozen=True)
@@ -109,7 +111,7 @@
     if repeatable_text not in ("yes", "no"):
         return Failure(Problem(Code.HEADER_MALFORMED, "takes yes or no", REPEATABLE_HEADER))
     wait_text = headers.get(WAIT_HEADER, str(request_class.max_wait_ms))
-    if not wait_text.isdecimal() or len(wait_text) > 9:
+    if not wait_text.isdecimal() or len(wait_text) > WAIT_DIGITS:
         return Failure(Problem(Code.HEADER_MALFORMED, "takes milliseconds", WAIT_HEADER))
     repeatable = request_class.repeatable and repeatable_text == "yes"
     max_wait_s = min(int(wait_text), request_class.max_wait_ms) / 1000
--- a/packages/springbridge-node/springbridge_node/class_router/requests/home.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/home.py
@@ -26,10 +26,19 @@
 from springbridge_node.class_router.requests.attempts import Work
 from springbridge_node.class_router.requests.runner import Runner
 
+# Longest wait for a home's answer about a request. Not measured; after it the endpoints are asked.
 HOME_PATIENCE_S = 1.0
+# Longest silence of a home whose answer is relayed. Not measured. A call to a plain service may be
+# silent for longer; the retry that is relayed then ends with OUTCOME_UNKNOWN and may ask again.
 RELAY_STALL_S = 10.0
+# Homes that are asked one after another when each says that the request moved on. A request moves
+# when a home that never saw it hands it over, so more than one move is rare. Not measured.
 MOST_MOVES = 3
-UNKNOWN = Problem(Code.OUTCOME_UNKNOWN, "the request's home cannot be asked", retry_after_s=2.0)
+# When a caller may ask again about a request whose home is silent. Not measured.
+UNKNOWN_RETRY_S = 2.0
+UNKNOWN = Problem(
+    Code.OUTCOME_UNKNOWN, "the request's home cannot be asked", retry_after_s=UNKNOWN_RETRY_S
+)
 
 
 class Home:
@@ -209,6 +218,8 @@
             try:
                 return await self._attach(member.peer_address, home, answer)
             except (OSError, TimeoutError, GRPCError, StreamTerminatedError, ConnectionError):
+                # The home is gone or cut off. The endpoints may still have the answer; what they
+                # say ends the request, and its code is logged.
                 pass
         return await self._ask_endpoints(work, answer)
 
--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -14,7 +14,14 @@
 
 from springbridge_node.class_router.peers.messages import Message
 
+# Longest wait for a lease; then the node admits its equal part of the limit. Callers wait this long
+# for the first token when an owner is lost. Not measured; far above one exchange with a peer.
 OWNER_PATIENCE_S = 0.25
+# Shortest time to come back after a refusal, so that a caller does not return in a busy loop. Not
+# measured.
+SHORTEST_RETRY_AFTER_S = 0.1
+# How long a limit that nobody uses is remembered after its last lease. Bounds memory only. Not
+# measured.
 IDLE_KEEP_S = 60.0
 
 Key = tuple[str, str]
@@ -59,7 +66,8 @@
         if limit.starts < 1:
             code = Code.RATE_LIMITED
         source = f"{share.customer}/{share.request_class}"
-        return Failure(Problem(code, source=source, retry_after_s=max(0.1, limit.retry_after_s)))
+        retry_after_s = max(SHORTEST_RETRY_AFTER_S, limit.retry_after_s)
+        return Failure(Problem(code, source=source, retry_after_s=retry_after_s))
 
     async def _renew(self, key: Key, limit: NodeLimit) -> bool:
         """Wait for a lease, or take the equal part if the owner does not answer.
@@ -76,6 +84,7 @@
             async with asyncio.timeout(OWNER_PATIENCE_S):
                 await asyncio.shield(answer)
         except TimeoutError:
+            # A silent owner costs accuracy, not requests: the node admits its equal part.
             limit.fall_back(self._clock(), self._nodes())
             self._answered(key)
         return asks
--- a/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
@@ -36,12 +36,27 @@
     stall_s_of,
 )
 
+# Preemptions that one request has to bear; after them its work counts as fixed and never takes the
+# last slot of an endpoint. Not measured.
 MAX_PREEMPTIONS = 2
+# Endpoints that may turn one request away before it is given up. No budget applies to these
+# retries, as nothing ran. Not measured.
 MAX_REFUSED_ATTEMPTS = 4
+# When the caller of such a request may come back. Not measured.
+REFUSED_RETRY_S = 1.0
+# Interval of looking for a stall, an eighth of the shortest silence that counts as one. Not
+# measured.
 WATCH_INTERVAL_S = 0.25
+# Interval of reporting a stream's latencies to its scheduler. Measured: a sample costs 50 us, which
+# is 5.8% of a core for 580 streams at the planned size (docs/CAPACITY.md); shorter costs more.
 SAMPLE_INTERVAL_S = 0.5
+# Tries to resume a stream by its id at the endpoint that has it: with the pause, an endpoint that
+# refuses connections for 2 s does not cost the request. Not measured.
 RESUME_TRIES = 8
+# Pause between two of these tries. Not measured.
 RESUME_PAUSE_S = 0.25
+# Shortest time for which work that has started stays away from all queues after a refusal. Not
+# measured.
 PARK_S = 0.25
 
 
@@ -128,7 +143,7 @@
         if end is End.TURNED_AWAY:
             work.refused_attempts += 1
             if work.refused_attempts >= MAX_REFUSED_ATTEMPTS:
-                return after_start(work, Problem(Code.NO_ENGINE, retry_after_s=1.0))
+                return after_start(work, Problem(Code.NO_ENGINE, retry_after_s=REFUSED_RETRY_S))
             return None
         if not work.request.repeatable:
             return Problem(Code.OUTCOME_UNKNOWN, "the engine's stream broke", slot.endpoint.name)
@@ -154,6 +169,8 @@
         """Stop the endpoint's work in the background."""
         client = self._clients[endpoint.kind]
         task = asyncio.ensure_future(client.cancel(endpoint, job_id))
+        # The exception is read so that asyncio doesn't report it. None is logged: the attempt has
+        # failed already, and an endpoint that is gone cannot be cancelled either.
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
 
     async def _run_watched(self, work: Work, slot: Slot, answer: Answer, progress: Progress) -> End:
@@ -269,6 +286,7 @@
             except NotAdmittedError:
                 return False
             except (EndpointError, TimeoutError):
+                # Tried again; after the last try the request's final code is logged.
                 await asyncio.sleep(RESUME_PAUSE_S)
         return False
 
--- a/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
+++ b/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
@@ -8,7 +8,11 @@
 from springbridge.problems import Problem
 
 ADDRESS = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:(\d{1,5})\Z")
+# Fewest characters of a secret. Not measured; chosen as too long to be guessed over the network.
 SHORTEST_TOKEN = 16
+# Smallest limit of a body in bytes; below it no chat completion fits. Not measured.
+SMALLEST_BODY_LIMIT_BYTES = 1024
+# How endpoints are chosen: by their schedulers, or by one of two baselines for comparison.
 POLICIES = ("springbridge", "round-robin", "least-load")
 
 
@@ -51,7 +55,8 @@
         long_enough = len(getattr(settings, name)) >= SHORTEST_TOKEN
         need(long_enough, name.replace("_", "-"), f"{SHORTEST_TOKEN} characters or more")
     need(settings.policy in POLICIES, "policy", "one of " + ", ".join(POLICIES))
-    need(settings.max_body_bytes >= 1024, "max-body-bytes", "1024 or more")
+    fits = settings.max_body_bytes >= SMALLEST_BODY_LIMIT_BYTES
+    need(fits, "max-body-bytes", f"{SMALLEST_BODY_LIMIT_BYTES} or more")
     need(settings.body_timeout_s > 0, "body-timeout-s", "a number above zero")
     need(settings.keep_addresses_s > 0, "keep-addresses-s", "a number above zero")
     return problems
