--- a/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
@@ -14,13 +14,13 @@
 
 from springbridge_node.class_router.callers.caller_handler import JSON, CallerHandler, describe
 from springbridge_node.class_router.callers.work_handler import WorkHandler
-from springbridge_node.class_router.requests.answers import Answer
 from springbridge_node.class_router.requests.class_admission import (
     CLASS_HEADER,
     Admitted,
     find_class,
     identify,
 )
+from springbridge_node.class_router.requests.growing_answers import Answer
 
 # Characters of a prompt that are counted as one token when its memory at an endpoint is estimated.
 # A rule of thumb for English text; not measured.
--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -16,10 +16,10 @@
 
 from springbridge_node import logs
 from springbridge_node.class_router.callers.caller_handler import CallerHandler
-from springbridge_node.class_router.requests.answers import Answer
-from springbridge_node.class_router.requests.attempts import Work
 from springbridge_node.class_router.requests.class_admission import Admitted, admit
+from springbridge_node.class_router.requests.growing_answers import Answer
 from springbridge_node.class_router.requests.limit_gate import finishing
+from springbridge_node.class_router.requests.work import Work
 
 # How long the rest of a refused body is read and thrown away before the connection is closed. A
 # sender that was cut off at once saw a reset in place of the answer; the length is not measured.
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -27,13 +27,13 @@
 from springbridge_node.class_router.callers.http_app import make_application
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.config.editing import Editor, Orders
-from springbridge_node.class_router.endpoints.endpoint_http import (
+from springbridge_node.class_router.endpoints.engine_roles import EngineRoles
+from springbridge_node.class_router.endpoints.load_reports import LoadReports
+from springbridge_node.class_router.endpoints.model_client import (
     ModelClient,
     ServiceClient,
     make_client,
 )
-from springbridge_node.class_router.endpoints.engine_roles import EngineRoles
-from springbridge_node.class_router.endpoints.load_reports import LoadReports
 from springbridge_node.class_router.endpoints.policies import slot_source
 from springbridge_node.class_router.endpoints.scheduler_host import TICK_S, SchedulerHost
 from springbridge_node.class_router.node_parts import Services
@@ -45,8 +45,8 @@
 )
 from springbridge_node.class_router.peers.peer_links import NODE_KEY, TOKEN_KEY, PeerLinks
 from springbridge_node.class_router.peers.peer_server import PeerService
-from springbridge_node.class_router.requests.answers import KeptAnswers
-from springbridge_node.class_router.requests.home import Home
+from springbridge_node.class_router.requests.at_most_once import Home
+from springbridge_node.class_router.requests.growing_answers import KeptAnswers
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 from springbridge_node.class_router.requests.runner import Runner
 from springbridge_node.class_router.serve_settings import Settings, split
--- a/packages/springbridge-node/springbridge_node/class_router/config/editing.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/editing.py
@@ -14,7 +14,7 @@
 
 from springbridge_node import logs
 from springbridge_node.class_router.config.config_sync import ConfigSync
-from springbridge_node.class_router.endpoints.endpoint_http import ModelClient
+from springbridge_node.class_router.endpoints.model_client import ModelClient
 
 # Tries to commit an edit that keeps losing races against edits of other rows. Not measured.
 COMMIT_TRIES = 5
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/load_reports.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/load_reports.py
@@ -5,7 +5,7 @@
 
 from springbridge.classes.entities import Endpoint, EndpointKind, Table
 
-from springbridge_node.class_router.endpoints.endpoint_http import ModelClient
+from springbridge_node.class_router.endpoints.model_client import ModelClient
 
 # Interval of reading load reports. Not measured.
 POLL_S = 0.5
--- a/packages/springbridge-node/springbridge_node/class_router/node_parts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/node_parts.py
@@ -10,7 +10,7 @@
 
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.metrics import Metrics
-from springbridge_node.class_router.requests.home import Home
+from springbridge_node.class_router.requests.at_most_once import Home
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 from springbridge_node.class_router.requests.runner import Runner
 from springbridge_node.class_router.serve_settings import Settings
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -30,7 +30,7 @@
     HandOverReply,
     Message,
 )
-from springbridge_node.class_router.requests.home import Home
+from springbridge_node.class_router.requests.at_most_once import Home
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
@@ -11,7 +11,7 @@
 from springbridge_node.class_router.peers.peer_links import TOKEN_KEY
 from springbridge_node.class_router.peers.proto import peer_pb2
 from springbridge_node.class_router.peers.proto.peer_grpc import PeerBase
-from springbridge_node.class_router.requests.answers import KeptAnswers
+from springbridge_node.class_router.requests.growing_answers import KeptAnswers
 
 
 class PeerService(PeerBase):
--- a/packages/springbridge-node/springbridge_node/class_router/requests/home.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
@@ -22,9 +22,9 @@
 from springbridge_node.class_router.peers.peer_links import open_channel
 from springbridge_node.class_router.peers.proto import peer_pb2
 from springbridge_node.class_router.peers.proto.peer_grpc import PeerStub
-from springbridge_node.class_router.requests.answers import Answer, KeptAnswers
-from springbridge_node.class_router.requests.attempts import Work
+from springbridge_node.class_router.requests.growing_answers import Answer, KeptAnswers
 from springbridge_node.class_router.requests.runner import Runner
+from springbridge_node.class_router.requests.work import Work
 
 # Longest wait for a home's answer about a request. Not measured; after it the endpoints are asked.
 HOME_PATIENCE_S = 1.0
--- a/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
@@ -25,8 +25,8 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
-from springbridge_node.class_router.requests.answers import Answer
-from springbridge_node.class_router.requests.attempts import (
+from springbridge_node.class_router.requests.growing_answers import Answer
+from springbridge_node.class_router.requests.work import (
     End,
     Progress,
     Work,
--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants.py
@@ -31,7 +31,7 @@
     ),
     Mutant(
         "one home for a request",
-        f"{NODE}/class_router/requests/home.py",
+        f"{NODE}/class_router/requests/at_most_once.py",
         "        home = record.moved_to or request_id.home\n",
         "        home = me\n",
         f"{NODE}/class_router/at_most_once_test.py::test_two_nodes_at_the_same_time",
@@ -45,21 +45,21 @@
     ),
     Mutant(
         "resume by id after the home is lost",
-        f"{NODE}/class_router/requests/home.py",
+        f"{NODE}/class_router/requests/at_most_once.py",
         "if endpoint.kind is not EndpointKind.MODEL:",
         "if True:",
         f"{NODE}/class_router/at_most_once_test.py::test_home_lost_during_a_model_request",
     ),
     Mutant(
         "only the home promises not run",
-        f"{NODE}/class_router/requests/home.py",
+        f"{NODE}/class_router/requests/at_most_once.py",
         "        return unknown_because(problem)\n\n    def serve",
         "        return problem\n\n    def serve",
         f"{NODE}/class_router/at_most_once_test.py::test_node_that_refuses_a_retry_does_not_say_that_it_was_not_run",
     ),
     Mutant(
         "a refused id stays refused",
-        f"{NODE}/class_router/requests/home.py",
+        f"{NODE}/class_router/requests/at_most_once.py",
         "if at_home and self._bindings.refuse(request_id, owner):",
         "if at_home:",
         f"{NODE}/class_router/at_most_once_test.py::test_id_refused_by_a_limit_stays_refused",
@@ -164,7 +164,7 @@
     ),
     Mutant(
         "lost replies settled by reading back",
-        f"{NODE}/class_router/config/platform_http.py",
+        f"{NODE}/class_router/config/table_store.py",
         "                return await self._settle(change)",
         "                return Failure(Problem(Code.TABLE_UNAVAILABLE))",
         f"{NODE}/class_router/platform_test.py::test_commit_under_faults",
