--- a/packages/springbridge-node/springbridge_node/class_router/callers/caller_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/caller_handler.py
@@ -7,7 +7,7 @@
 from tornado.web import RequestHandler
 
 from springbridge_node import logs
-from springbridge_node.class_router.node_parts import Services
+from springbridge_node.class_router.node_parts import NodeParts
 
 JSON = "application/json"
 
@@ -15,9 +15,9 @@
 class CallerHandler(RequestHandler):
     """What all handlers of callers share: answers to problems."""
 
-    node: Services
+    node: NodeParts
 
-    def initialize(self, node: Services) -> None:
+    def initialize(self, node: NodeParts) -> None:
         """Keep the node's parts."""
         self.node = node
 
--- a/packages/springbridge-node/springbridge_node/class_router/callers/http_app.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/http_app.py
@@ -12,20 +12,20 @@
     ChatHandler,
     ServiceHandler,
 )
-from springbridge_node.class_router.node_parts import Services
+from springbridge_node.class_router.node_parts import NodeParts
 from springbridge_node.class_router.operators.operators_http import (
     AuditHandler,
-    OperatorServices,
+    OperatorParts,
     OrderHandler,
     StatusHandler,
     TableHandler,
 )
 
 
-def make_application(services: Services, operator_services: OperatorServices) -> Application:
+def make_application(parts: NodeParts, operator_parts: OperatorParts) -> Application:
     """Return the application that serves callers and operators."""
-    node = {"node": services}
-    operators = {"services": operator_services}
+    node = {"node": parts}
+    operators = {"parts": operator_parts}
     return Application(
         [
             (r"/v1/chat/completions", ChatHandler, node),
--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -74,7 +74,7 @@
         if self.admitted is None:
             return problem
         owner = self.admitted.owner
-        return self.node.home.promised(self.admitted.request_id, owner, problem)
+        return self.node.at_most_once.promised(self.admitted.request_id, owner, problem)
 
     def _wrong_kind(self, admitted: Admitted) -> Problem | None:
         """Return a problem where the class is for another kind of target."""
@@ -149,18 +149,15 @@
             prompt_tokens=prompt_tokens,
             affinity=admitted.affinity,
         )
-        bound = not admitted.repeatable
-        work = Work(
-            request, bytes(self.body), path, self._endpoints(admitted), bound, self.arrived_s
-        )
-        if bound:
-            match self.node.home.serve(work, request_id, admitted.owner):
+        work = Work(request, bytes(self.body), path, self._endpoints(admitted), self.arrived_s)
+        if not request.repeatable:
+            match self.node.at_most_once.serve(work, request_id, admitted.owner):
                 case Failure(problem):
                     return problem
                 case Success(answer):
                     return answer
         answer = Answer(request_id.text)
-        running = self.node.home.run_repeatable(work, request_id, admitted.owner, answer)
+        running = self.node.at_most_once.run_repeatable(work, request_id, admitted.owner, answer)
         self.task = asyncio.create_task(running)
         return answer
 
--- a/packages/springbridge-node/springbridge_node/class_router/metrics.py
+++ b/packages/springbridge-node/springbridge_node/class_router/metrics.py
@@ -16,9 +16,6 @@
     def timing(self, stat: str, delta: float) -> None:
         """Record a duration in milliseconds."""
 
-    def gauge(self, stat: str, value: float) -> None:
-        """Record a current value."""
-
 
 class NoMetrics:
     """Metrics that go nowhere, when no statsd address is set."""
@@ -29,9 +26,6 @@
     def timing(self, stat: str, delta: float) -> None:
         """Do nothing."""
 
-    def gauge(self, stat: str, value: float) -> None:
-        """Do nothing."""
-
 
 def connect(address: str) -> Metrics:
     """Return metrics that go to a statsd address (UDP), or nowhere if it is empty."""
--- a/packages/springbridge-node/springbridge_node/class_router/node_parts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/node_parts.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 from contextlib import contextmanager
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from springbridge.codes import Code
 from springbridge.membership import Member, Membership
@@ -10,9 +10,8 @@
 
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.metrics import Metrics
-from springbridge_node.class_router.requests.at_most_once import Home
+from springbridge_node.class_router.requests.at_most_once import AtMostOnce
 from springbridge_node.class_router.requests.limit_gate import LimitGate
-from springbridge_node.class_router.requests.runner import Runner
 from springbridge_node.class_router.serve_settings import Settings
 
 # When a caller may come back to a node that is leaving or not fresh. The answer names other nodes,
@@ -21,7 +20,7 @@
 
 
 @dataclass
-class Services:
+class NodeParts:
     """The parts of a node.
 
     Attributes:
@@ -35,11 +34,9 @@
     membership: Membership
     config: ConfigSync
     limits: LimitGate
-    runner: Runner
-    home: Home
+    at_most_once: AtMostOnce
     refusing: bool = False
     running: int = 0
-    served: dict[str, int] = field(default_factory=dict)
 
     def closed(self) -> Problem | None:
         """Return why new requests are refused, or None."""
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -17,7 +17,7 @@
 from springbridge_node.class_router.callers.caller_handler import JSON, describe
 from springbridge_node.class_router.config.editing import Editor, EditRequest, Orders
 from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
-from springbridge_node.class_router.node_parts import Services
+from springbridge_node.class_router.node_parts import NodeParts
 from springbridge_node.class_router.peers.peer_links import PeerLinks
 
 TOKEN_HEADER = "Springbridge-Operator-Token"
@@ -27,10 +27,10 @@
 
 
 @dataclass(frozen=True)
-class OperatorServices:
+class OperatorParts:
     """What the operators' handlers need."""
 
-    node: Services
+    node: NodeParts
     store: TableStore
     editor: Editor
     orders: Orders
@@ -42,16 +42,16 @@
 class OperatorHandler(RequestHandler):
     """What all handlers of operators share: the token, and answers to problems."""
 
-    services: OperatorServices
+    parts: OperatorParts
 
-    def initialize(self, services: OperatorServices) -> None:
+    def initialize(self, parts: OperatorParts) -> None:
         """Keep the node's parts."""
-        self.services = services
+        self.parts = parts
 
     def prepare(self) -> None:
         """Refuse whoever does not know the operators' token."""
         given = self.request.headers.get(TOKEN_HEADER, "")
-        token = self.services.node.settings.operator_token
+        token = self.parts.node.settings.operator_token
         if not hmac.compare_digest(given.encode(), token.encode()):
             self.refuse([Problem(Code.OPERATOR_UNKNOWN, source=TOKEN_HEADER)])
 
@@ -80,7 +80,7 @@
 
     def get(self) -> None:
         """Answer with the version and rows in force on this node."""
-        self.reply(self.services.node.config.snapshot)
+        self.reply(self.parts.node.config.snapshot)
 
     async def post(self) -> None:
         """Accept or refuse an edit."""
@@ -88,7 +88,7 @@
         if isinstance(request, Problem):
             self.refuse([request])
             return
-        match await self.services.editor.edit(request):
+        match await self.parts.editor.edit(request):
             case Success(version):
                 self.reply({"version": version})
             case Failure(problems):
@@ -104,7 +104,7 @@
         if not after.isdecimal():
             self.refuse([Problem(Code.HEADER_MALFORMED, "after takes a version")])
             return
-        match await self.services.store.changes(int(after), AUDIT_LIMIT):
+        match await self.parts.store.changes(int(after), AUDIT_LIMIT):
             case Success(changes):
                 self.reply({"changes": changes})
             case Failure(problem):
@@ -120,11 +120,11 @@
             raw = orjson.loads(self.request.body)
             kind = OrderKind(raw["order"])
             argument = str(raw["argument"])
-            endpoint = self.services.node.config.table.endpoints[raw["engine"]]
+            endpoint = self.parts.node.config.table.endpoints[raw["engine"]]
         except (ValueError, KeyError, TypeError):
             self.refuse([Problem(Code.BODY_MALFORMED, "engine, order and argument are needed")])
             return
-        match await self.services.orders.give(endpoint, kind, argument):
+        match await self.parts.orders.give(endpoint, kind, argument):
             case Success(epoch):
                 self.reply({"epoch": epoch})
             case Failure(problem):
@@ -136,9 +136,9 @@
 
     def get(self) -> None:
         """Answer with members, version, schedulers, invariants and counts."""
-        services = self.services
-        node = services.node
-        messages, sent_bytes = services.links.sent()
+        parts = self.parts
+        node = parts.node
+        messages, sent_bytes = parts.links.sent()
         closed = node.closed()
         self.reply(
             {
@@ -148,9 +148,9 @@
                 "version": node.config.table.version,
                 "live": sorted(node.membership.incarnations()),
                 "running": node.running,
-                "bound_tasks": len(node.home.tasks),
-                "violations": dict(services.invariants.violations),
-                "checks": dict(services.invariants.checks),
+                "bound_tasks": len(node.at_most_once.tasks),
+                "violations": dict(parts.invariants.violations),
+                "checks": dict(parts.invariants.checks),
                 "sent_messages": messages,
                 "sent_bytes": sent_bytes,
                 "engines": [
@@ -163,7 +163,7 @@
                         "waiting": len(scheduler.queue),
                         "suspect": scheduler.health.suspect,
                     }
-                    for name, scheduler in services.hosts.schedulers.items()
+                    for name, scheduler in parts.hosts.schedulers.items()
                 ],
             }
         )
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -30,7 +30,7 @@
     HandOverReply,
     Message,
 )
-from springbridge_node.class_router.requests.at_most_once import Home
+from springbridge_node.class_router.requests.home_lookup import HomeLookup
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 
 
@@ -43,7 +43,7 @@
     membership: Membership
     config: ConfigSync
     limits: LimitGate
-    home: Home
+    lookup: HomeLookup
 
 
 class MessageIntake:
@@ -95,8 +95,8 @@
         # An id that does not parse gets no answer; the asker then finds the outcome unknown.
         match request_ids.parse(ask.request_id):
             case Success(request_id):
-                self._parts.home.answer_hand_over(ask, request_id)
+                self._parts.lookup.answer_hand_over(ask, request_id)
 
     @_take.register
     def _(self, reply: HandOverReply) -> None:
-        self._parts.home.take_reply(reply)
+        self._parts.lookup.take_reply(reply)
--- a/packages/springbridge-node/springbridge_node/class_router/requests/work.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/work.py
@@ -1,27 +1,26 @@
-"""What a request's attempts are made of: the work, what is seen of an attempt, how it ended."""
+"""A request with what it takes to run it, and the rules on what its failures lead to.
+
+Owns Work, which the runner changes as attempts end. Pure: no clock, no sockets.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from springbridge.classes.decisions import Outcome, Sample
-from springbridge.classes.entities import Endpoint, EndpointKind, Request
-from springbridge.classes.stream import Chunk
+from springbridge.classes.decisions import Outcome
+from springbridge.classes.entities import Endpoint, Request
+from springbridge.classes.retry_budget import RetryBudget
 from springbridge.codes import Code, Fate
 from springbridge.problems import Problem
 
-# Silence that counts as a stall, in latency targets between tokens: 2 s at a target of 65 ms.
-# Not measured.
-STALL_TARGETS = 30
-# Shortest silence that counts as a stall, so that a short pause of an endpoint with tight targets
-# does not end its streams. Not measured.
-SHORTEST_STALL_S = 2.0
-# The same in latency targets for the first token. Not measured; twice leaves room for a long
-# prompt.
-FIRST_TOKEN_TARGETS = 2
-# Silence that counts as a stall at a plain service, which sends nothing before its whole answer;
-# the same as the HTTP client's longest wait for one.
-SERVICE_STALL_S = 60.0
+# Preemptions that one request has to bear; after them its work counts as fixed and never takes the
+# last slot of an endpoint. Not measured.
+MAX_PREEMPTIONS = 2
+# Endpoints that may turn one request away before it is given up. No budget applies to these
+# retries, as nothing ran. Not measured.
+MAX_REFUSED_ATTEMPTS = 4
+# When the caller of such a request may come back. Not measured.
+REFUSED_RETRY_S = 1.0
 
 
 class End(Enum):
@@ -38,18 +37,17 @@
     """A request with what it takes to run it.
 
     Attributes:
+      path: Path below a plain service, empty for models.
       endpoints: Returns the endpoints that the request may use under the table in force.
-      bound: Whether attempts are recorded at this home, as the request is not repeatable.
-      wait_from_s: From when the present wait is counted.
+      wait_from_s: From when the present wait is counted, on the node's monotonic clock.
       started: Whether an endpoint may have worked on it.
-      avoid: Engines that failed this request.
+      avoid: Names of endpoints that failed this request.
     """
 
     request: Request
     body: bytes
     path: str
     endpoints: Callable[[], tuple[Endpoint, ...]]
-    bound: bool
     wait_from_s: float
     attempts: int = 0
     preemptions: int = 0
@@ -59,65 +57,44 @@
 
     def job_id(self) -> str:
         """Return the id of the present attempt: the request's own where there is but one."""
-        if self.bound:
+        if not self.request.repeatable:
             return self.request.request_id
         return f"{self.request.request_id}.{self.attempts}"
 
+    def wait_left_s(self, now_s: float) -> float:
+        """Return how long the request may still wait for a slot."""
+        return max(0.0, self.request.max_wait_s - (now_s - self.wait_from_s))
 
-@dataclass
-class Progress:
-    """What is seen of one attempt."""
-
-    started_s: float
-    first_s: float = 0.0
-    first_tokens: int = 0
-    last_s: float = 0.0
-    tokens: int = 0
-    sampled_s: float = 0.0
-    sampled_tokens: int = 0
-    stalled: bool = False
-    preempted: bool = False
-
-    def sample(self, ask_id: str) -> Sample:
-        """Return the latencies since the last sample."""
-        first_token_s = 0.0
-        if self.tokens and not self.sampled_s:
-            first_token_s = self.first_s - self.started_s
-            self.sampled_s = self.first_s
-            self.sampled_tokens = self.first_tokens
-        fresh = self.tokens - self.sampled_tokens
-        between_s = (self.last_s - self.sampled_s) / fresh if fresh else 0.0
-        self.sampled_s = self.last_s
-        self.sampled_tokens = self.tokens
-        return Sample(ask_id, first_token_s, between_s, self.tokens)
-
-
-def note(progress: Progress, chunk: Chunk, now_s: float) -> None:
-    """Note the arrival of a chunk."""
-    if not progress.tokens:
-        progress.first_s = now_s
-        progress.first_tokens = chunk.tokens
-    progress.last_s = now_s
-    progress.tokens += chunk.tokens
-
-
-def stall_s_of(request: Request, endpoint: Endpoint) -> float:
-    """Return the silence after which an attempt counts as stalled."""
-    if endpoint.kind is EndpointKind.SERVICE:
-        return SERVICE_STALL_S
-    target_s = request.request_class.between_tokens_ms / 1000
-    first_s = request.request_class.first_token_ms / 1000
-    return max(SHORTEST_STALL_S, STALL_TARGETS * target_s, FIRST_TOKEN_TARGETS * first_s)
+    def resumable(self) -> bool:
+        """Return whether its attempt may be preempted."""
+        return self.request.repeatable and self.preemptions < MAX_PREEMPTIONS
 
 
-def outcome_of(end: End) -> Outcome:
-    """Return what the scheduler is told of an attempt."""
-    return {
-        End.WHOLE: Outcome.DONE,
-        End.PREEMPTED: Outcome.CANCELLED,
-        End.TURNED_AWAY: Outcome.ENDPOINT_REFUSED,
-        End.BROKEN: Outcome.ENGINE_FAILED,
-    }[end]
+def next_step(work: Work, endpoint: Endpoint, end: End, budget: RetryBudget) -> Problem | None:
+    """Decide whether an attempt that did not bring the whole answer is followed by another.
+
+    Inputs: the work with its counts, the endpoint that had it, how the attempt ended, and the
+    node's retry budget, from which a repeated attempt takes one token.
+    Outcome: None for another attempt, else the problem that ends the request.
+    Why: a preemption is springbridge's own doing and costs nothing; an endpoint that turned the
+    request away did not run it, so another may have it; after a broken stream only repeatable work
+    may be sent again, and only within the budget, so that retries cannot multiply an overload.
+    Numbers: MAX_REFUSED_ATTEMPTS and the budget's share of fresh requests; neither was measured.
+    """
+    if end is End.PREEMPTED:
+        work.preemptions += 1
+        return None
+    work.avoid.add(endpoint.name)
+    if end is End.TURNED_AWAY:
+        work.refused_attempts += 1
+        if work.refused_attempts >= MAX_REFUSED_ATTEMPTS:
+            return after_start(work, Problem(Code.NO_ENGINE, retry_after_s=REFUSED_RETRY_S))
+        return None
+    if not work.request.repeatable:
+        return Problem(Code.OUTCOME_UNKNOWN, "the engine's stream broke", endpoint.name)
+    if not budget.try_retry():
+        return Problem(Code.ENGINE_FAILED, "no retry left in the budget", endpoint.name)
+    return None
 
 
 def after_start(work: Work, problem: Problem) -> Problem:
@@ -126,3 +103,13 @@
         detail = f"given up after its start: {problem.code.name}"
         return Problem(Code.ENGINE_FAILED, detail, retry_after_s=problem.retry_after_s)
     return problem
+
+
+def outcome_of(end: End) -> Outcome:
+    """Return what the scheduler is told of an attempt."""
+    return {
+        End.WHOLE: Outcome.DONE,
+        End.PREEMPTED: Outcome.CANCELLED,
+        End.TURNED_AWAY: Outcome.ENDPOINT_REFUSED,
+        End.BROKEN: Outcome.ENGINE_FAILED,
+    }[end]
