--- a/packages/springbridge-node/springbridge_node/class_router/assembly.py
+++ b/packages/springbridge-node/springbridge_node/class_router/assembly.py
@@ -3,8 +3,9 @@
 import time
 
 from springbridge_node.class_router.class_node import Node
-from springbridge_node.class_router.config.table_store import HttpInstanceList, HttpTableStore
-from springbridge_node.class_router.endpoints.model_client import make_client
+from springbridge_node.class_router.config.instance_list import HttpInstanceList
+from springbridge_node.class_router.config.table_store import HttpTableStore
+from springbridge_node.class_router.endpoints.endpoint_http import make_client
 from springbridge_node.class_router.serve_settings import Settings
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -3,8 +3,8 @@
 Owns the node's incarnation, its parts and its periodic tasks. Relies on the ports of the library,
 for which assembly.py has the platform's adapters.
 
-The gateway has a planned stop of its own (gateway/lifecycle.py), since its platform kills it after a
-grace time and it has to end before. Nothing limits the stop here: it waits for every answer.
+The gateway has a planned stop of its own (gateway/lifecycle.py), since its platform kills it after
+a grace time and it has to end before. Nothing limits the stop here: it waits for every answer.
 """
 
 import asyncio
@@ -29,15 +29,13 @@
 from springbridge_node.class_router.callers.http_app import make_application
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.config.editing import Editor, Orders
+from springbridge_node.class_router.endpoints.endpoint_http import make_client
 from springbridge_node.class_router.endpoints.engine_roles import EngineRoles
 from springbridge_node.class_router.endpoints.load_reports import LoadReports
-from springbridge_node.class_router.endpoints.model_client import (
-    ModelClient,
-    ServiceClient,
-    make_client,
-)
+from springbridge_node.class_router.endpoints.model_client import ModelClient
 from springbridge_node.class_router.endpoints.policies import slot_source
 from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
+from springbridge_node.class_router.endpoints.service_client import ServiceClient
 from springbridge_node.class_router.housekeeping import Housekeeping
 from springbridge_node.class_router.node_parts import NodeParts
 from springbridge_node.class_router.operators.operators_http import OperatorParts
--- a/packages/springbridge-node/springbridge_node/class_router/config/editing.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/editing.py
@@ -164,10 +164,10 @@
         self, endpoint: Endpoint, kind: OrderKind, argument: str, lease: OrderLease
     ) -> Result[int, Problem]:
         try:
-            taken, word = await self._client.order(endpoint, kind, argument, lease)
+            reply = await self._client.order(endpoint, kind, argument, lease)
         except (TimeoutError, OSError) as exc:
             return Failure(Problem(Code.OUTCOME_UNKNOWN, type(exc).__name__, endpoint.name))
-        if not taken:
-            return Failure(Problem(Code.ORDER_REFUSED, word, endpoint.name))
+        if not reply.taken:
+            return Failure(Problem(Code.ORDER_REFUSED, reply.text, endpoint.name))
         logs.event("order.taken", engine=endpoint.name, order=kind.value, epoch=lease.epoch)
         return Success(lease.epoch)
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
@@ -0,0 +1,34 @@
+"""Calls to the platform over HTTP; every failure becomes a result."""
+
+from typing import Any
+
+import orjson
+from returns.result import Failure, Result, Success
+from springbridge.codes import Code
+from springbridge.problems import Problem
+from tornado.httpclient import AsyncHTTPClient, HTTPRequest
+
+# Longest wait for a read. Derived: it stays below the 1 s between two reads of the version, so
+# that a silent service is noticed within the 3 s for which a confirmation is fresh.
+READ_TIMEOUT_S = 0.8
+# When a caller may try again after an outage of the table: two of the node's reads. Not measured.
+RETRY_AFTER_S = 2.0
+
+
+async def fetch_json(
+    client: AsyncHTTPClient, url: str, body: bytes | None, timeout_s: float
+) -> Result[Any, Problem]:
+    """Return the decoded JSON of an answer, or TABLE_UNAVAILABLE for whatever went wrong."""
+    request = HTTPRequest(
+        url,
+        method="GET" if body is None else "POST",
+        body=body,
+        connect_timeout=timeout_s,
+        request_timeout=timeout_s,
+    )
+    try:
+        response = await client.fetch(request)
+        return Success(orjson.loads(response.body))
+    except Exception as exc:
+        detail = f"the platform did not answer: {type(exc).__name__}"
+        return Failure(Problem(Code.TABLE_UNAVAILABLE, detail, retry_after_s=RETRY_AFTER_S))
--- a/packages/springbridge-node/springbridge_node/class_router/config/table_store.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/table_store.py
@@ -1,26 +1,41 @@
-"""Adapters for the platform: the table service and the list of instances, over HTTP.
+"""Adapter for the platform's table service, over HTTP.
 
 The table service offers transactions: conditions on row versions (0 stands for no row) and writes,
-applied together or not at all. Each transaction carries an id; a transaction whose reply is lost
-is settled by reading a row back that only this transaction can have written.
+applied together or not at all. Each change writes a row under its own id. A commit whose reply is
+lost is settled by reading that row back.
 """
 
 import asyncio
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
 from typing import Any
 
 import orjson
 from returns.result import Failure, Result, Success
-from springbridge.classes.ports import MOVED_ON, Listed, OrderLease
-from springbridge.classes.table.changes import Change, Snapshot, decode_change, encode_change
+from springbridge.classes.ports import MOVED_ON, OrderLease
+from springbridge.classes.table.changes import Change, Snapshot, decode_change
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from tornado.httpclient import AsyncHTTPClient, HTTPRequest
+from tornado.httpclient import AsyncHTTPClient
+
+from springbridge_node.class_router.config.platform_http import (
+    READ_TIMEOUT_S,
+    RETRY_AFTER_S,
+    fetch_json,
+)
+from springbridge_node.class_router.config.stored_table import (
+    AUDIT,
+    CHANGE_IDS,
+    CLAIMS,
+    LEASES,
+    ROWS,
+    VERSION,
+    StoredLease,
+    StoredRow,
+    audit_key,
+    to_snapshot,
+    writes_of,
+)
 
-# Longest wait for a read. Derived: it stays below the 1 s between two reads of the version, so
-# that a silent service is noticed within the 3 s for which a confirmation is fresh.
-READ_TIMEOUT_S = 0.8
 # Longest wait for a transaction. Longer than a read, since a lost reply has to be settled by
 # reading back. Not measured.
 WRITE_TIMEOUT_S = 2.0
@@ -29,32 +44,10 @@
 SETTLE_TRIES = 5
 # Pause before each of these looks: a write that is late may still take effect. Not measured.
 SETTLE_PAUSE_S = 0.3
-# When a caller may try again after an outage of the table: two of the node's reads. Not measured.
-RETRY_AFTER_S = 2.0
 # Length of a lease for orders. It bounds how long a dead holder keeps others out, and leaves 5 s to
 # send after the margin that editing.py takes off. Not measured.
 ORDER_LEASE_S = 10.0
 
-ROWS = "rows/"
-AUDIT = "audit/"
-CHANGE_IDS = "change/"
-CLAIMS = "claim/"
-LEASES = "lease/"
-VERSION = "version"
-
-
-@dataclass(frozen=True)
-class StoredRow:
-    """A row of the table service; version 0 stands for no row."""
-
-    version: int
-    value: str
-
-
-def audit_key(version: int) -> str:
-    """Return the key of an audit record, ordered like the versions."""
-    return f"{AUDIT}{version:012d}"
-
 
 class HttpTableStore:
     """The platform's table service."""
@@ -73,7 +66,7 @@
     async def snapshot(self) -> Result[Snapshot, Problem]:
         """Return all rows at the newest version; the service scans them in one transaction."""
         scanned = await self._post("/scan", {"prefixes": [ROWS, VERSION]}, READ_TIMEOUT_S)
-        return scanned.map(_to_snapshot)
+        return scanned.map(to_snapshot)
 
     async def changes(self, after: int, limit: int) -> Result[list[Change], Problem]:
         """Return the changes that follow a version, oldest first."""
@@ -103,7 +96,7 @@
                 if int(row.value or 0) != change.version - 1:
                     return await self._conflict_or_done(change)
         conditions = {VERSION: row.version, CHANGE_IDS + change.change_id: 0}
-        match await self._transact(conditions, _writes(change)):
+        match await self._transact(conditions, writes_of(change)):
             case Success(True):
                 return Success(None)
             case Success(_):
@@ -132,15 +125,14 @@
             case Failure(problem):
                 return Failure(problem)
             case Success(row):
-                current = orjson.loads(row.value) if row.version else {}
+                current = StoredLease.from_row(row)
         now_s = self._wall_clock()
-        held_by_other = current.get("holder") != holder and current.get("until_s", 0) > now_s
-        if held_by_other:
+        in_force = current.until_s > now_s
+        if in_force and current.holder != holder:
             return Failure(Problem(Code.ORDER_REFUSED, "the lease is taken", endpoint))
-        renews = current.get("holder") == holder and current.get("until_s", 0) > now_s
-        epoch = current.get("epoch", 0) + (0 if renews else 1)
-        value = {"holder": holder, "epoch": epoch, "until_s": now_s + ORDER_LEASE_S}
-        match await self._transact({key: row.version}, {key: orjson.dumps(value).decode()}):
+        epoch = current.epoch if in_force else current.epoch + 1
+        lease = StoredLease(holder, epoch, now_s + ORDER_LEASE_S)
+        match await self._transact({key: row.version}, {key: orjson.dumps(lease).decode()}):
             case Success(True):
                 spent_s = self._wall_clock() - now_s
                 return Success(OrderLease(endpoint, holder, epoch, ORDER_LEASE_S - spent_s))
@@ -185,64 +177,7 @@
         return written.map(lambda found: found["applied"])
 
     async def _post(self, path: str, request: Any, timeout_s: float) -> Result[Any, Problem]:
-        return await _fetch(self._client, self._url + path, orjson.dumps(request), timeout_s)
-
-
-class HttpInstanceList:
-    """The platform's lagging list of instances."""
-
-    def __init__(self, address: str, client: AsyncHTTPClient):
-        """Keep the address of the list and an HTTP client."""
-        self._url = f"http://{address}/instances"
-        self._client = client
-
-    async def instances(self) -> Result[list[Listed], Problem]:
-        """Return the listed instances."""
-        read = await _fetch(self._client, self._url, None, READ_TIMEOUT_S)
-        return read.map(lambda found: [Listed(**entry) for entry in found["instances"]])
-
-
-async def _fetch(
-    client: AsyncHTTPClient, url: str, body: bytes | None, timeout_s: float
-) -> Result[Any, Problem]:
-    """Return the decoded JSON of an answer, or TABLE_UNAVAILABLE for whatever went wrong."""
-    request = HTTPRequest(
-        url,
-        method="GET" if body is None else "POST",
-        body=body,
-        connect_timeout=timeout_s,
-        request_timeout=timeout_s,
-    )
-    try:
-        response = await client.fetch(request)
-        return Success(orjson.loads(response.body))
-    except Exception as exc:
-        detail = f"the platform did not answer: {type(exc).__name__}"
-        return Failure(Problem(Code.TABLE_UNAVAILABLE, detail, retry_after_s=RETRY_AFTER_S))
-
-
-def _to_snapshot(found: Any) -> Snapshot:
-    rows = found["rows"]
-    version = int(rows[VERSION]["value"]) if VERSION in rows else 0
-    cells = {
-        key.removeprefix(ROWS): orjson.loads(row["value"])
-        for key, row in rows.items()
-        if key.startswith(ROWS)
-    }
-    return Snapshot(version, cells)
-
-
-def _writes(change: Change) -> dict[str, str | None]:
-    """Return everything that a change writes; None deletes a row."""
-    writes: dict[str, str | None] = {
-        VERSION: str(change.version),
-        CHANGE_IDS + change.change_id: audit_key(change.version),
-        audit_key(change.version): encode_change(change).decode(),
-    }
-    for edit in change.edits:
-        after = None if edit.after is None else orjson.dumps(edit.after).decode()
-        writes[ROWS + edit.key] = after
-    return writes
+        return await fetch_json(self._client, self._url + path, orjson.dumps(request), timeout_s)
 
 
 def _claimed(row: StoredRow) -> Result[str, Problem]:
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/endpoint_http.py
@@ -0,0 +1,86 @@
+"""What the adapters of all endpoints share: the HTTP client, and what a failed call proves.
+
+An endpoint turns a job away before it starts with status 429 or 503 and the header
+``Engine-Admitted: no``. Only that answer, or a connection that was never made, proves that the job
+did not start.
+"""
+
+import asyncio
+import socket
+from functools import singledispatch
+
+from springbridge.classes.entities import Endpoint
+from springbridge.classes.ports import EndpointError, NotAdmittedError
+from tornado.httpclient import AsyncHTTPClient, HTTPClientError
+from tornado.netutil import Resolver
+from tornado.simple_httpclient import HTTPTimeoutError
+
+# Longest wait for a connection. Running out proves that the job did not start, so another endpoint
+# may get it. Not measured.
+CONNECT_TIMEOUT_S = 1.0
+# Requests that the HTTP client runs at a time. The schedulers limit what is sent to endpoints, so
+# this stays above what a node is granted: 580 streams at the planned size (docs/CAPACITY.md).
+MAX_CLIENTS = 5000
+# Largest answer in bytes that the HTTP client takes. A stream is not kept by the client, so this
+# must only lie above any answer. Not measured.
+MAX_ANSWER_BYTES = 1 << 30
+ADMITTED_HEADER = "Engine-Admitted"
+
+
+class NumericResolver(Resolver):
+    """Resolves IP numbers only, without the thread that a look-up by name takes."""
+
+    async def resolve(
+        self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
+    ) -> list[tuple[int, tuple[str, int]]]:
+        """Return the address as it is."""
+        return [(socket.AF_INET, (host, port))]
+
+
+def make_client() -> AsyncHTTPClient:
+    """Return the HTTP client that all adapters of a node share."""
+    return AsyncHTTPClient(
+        force_instance=True,
+        max_clients=MAX_CLIENTS,
+        max_body_size=MAX_ANSWER_BYTES,
+        resolver=NumericResolver(),
+    )
+
+
+def url_of(endpoint: Endpoint, path: str) -> str:
+    """Return the URL of a path at an endpoint."""
+    return f"http://{endpoint.address}{path}"
+
+
+def failure_of(fetch: "asyncio.Future") -> Exception | None:
+    """Return what a finished fetch means for the job, None for success."""
+    if fetch.cancelled():
+        return EndpointError("cancelled")
+    exc = fetch.exception()
+    if exc is None:
+        return None
+    if proves_not_started(exc):
+        return NotAdmittedError(str(exc))
+    return EndpointError(f"{type(exc).__name__}: {exc}")
+
+
+@singledispatch
+def proves_not_started(exc: BaseException) -> bool:
+    """Return whether a failure proves that the job did not start."""
+    return False
+
+
+@proves_not_started.register
+def _(exc: ConnectionRefusedError) -> bool:
+    return True
+
+
+@proves_not_started.register
+def _(exc: HTTPTimeoutError) -> bool:
+    # Tornado tells the phases of a request apart by the text only.
+    return "connecting" in str(exc) or "queue" in str(exc)
+
+
+@proves_not_started.register
+def _(exc: HTTPClientError) -> bool:
+    return exc.response is not None and exc.response.headers.get(ADMITTED_HEADER) == "no"
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/service_client.py
@@ -0,0 +1,55 @@
+"""Adapter for plain services, over HTTP: they answer in one piece and keep nothing."""
+
+import asyncio
+from collections.abc import AsyncIterator
+
+from springbridge.classes.entities import Endpoint
+from springbridge.classes.ports import EndpointError, Job
+from springbridge.classes.stream import Chunk
+from tornado.httpclient import AsyncHTTPClient, HTTPRequest
+
+from springbridge_node.class_router.endpoints.endpoint_http import (
+    CONNECT_TIMEOUT_S,
+    failure_of,
+    url_of,
+)
+from springbridge_node.class_router.requests.progress import SERVICE_STALL_S
+
+ID_HEADER = "Request-Id"
+
+
+class ServiceClient:
+    """Client of a plain service; its whole answer is one chunk."""
+
+    def __init__(self, client: AsyncHTTPClient):
+        """Keep the HTTP client."""
+        self._client = client
+
+    async def run(self, endpoint: Endpoint, job: Job) -> AsyncIterator[Chunk]:
+        """Call the service and yield its answer."""
+        request = HTTPRequest(
+            url_of(endpoint, job.path),
+            method="POST",
+            body=job.body,
+            headers={ID_HEADER: job.request_id},
+            connect_timeout=CONNECT_TIMEOUT_S,
+            request_timeout=SERVICE_STALL_S,
+        )
+        fetch = asyncio.ensure_future(self._client.fetch(request))
+        await asyncio.wait([fetch])
+        failure = failure_of(fetch)
+        if failure is not None:
+            raise failure
+        response = fetch.result()
+        answered = response.headers.get(ID_HEADER, "")
+        yield Chunk(answered, 0, 1, response.body.decode(errors="surrogateescape"), True)
+
+    async def resume(
+        self, endpoint: Endpoint, request_id: str, offset: int
+    ) -> AsyncIterator[Chunk]:
+        """Fail: a plain service keeps no answers."""
+        raise EndpointError("a plain service keeps no answers")
+        yield  # Makes this an asynchronous generator.
+
+    async def cancel(self, endpoint: Endpoint, request_id: str) -> None:
+        """Do nothing: a plain service cannot be stopped."""
--- a/packages/springbridge-node/springbridge_node/class_router/requests/progress.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/progress.py
@@ -15,8 +15,8 @@
 # The same in latency targets for the first token. Not measured; twice leaves room for a long
 # prompt.
 FIRST_TOKEN_TARGETS = 2
-# Silence that counts as a stall at a plain service, which sends nothing before its whole answer;
-# the same as the HTTP client's longest wait for one.
+# Silence that counts as a stall at a plain service. It sends nothing before its whole answer, so
+# this is the longest wait for one. Not measured.
 SERVICE_STALL_S = 60.0
 
 
