--- a/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
@@ -6,7 +6,6 @@
 import orjson
 from returns.result import Failure, Success
 from springbridge.classes import request_ids
-from springbridge.classes.placement import allowed_failure_domains
 from springbridge.classes.stream import Chunk
 from springbridge.codes import Code, Fate
 from springbridge.problems import Problem
@@ -17,8 +16,7 @@
 from springbridge_node.class_router.requests.class_admission import (
     CLASS_HEADER,
     Admitted,
-    find_class,
-    identify,
+    permit_of,
 )
 from springbridge_node.class_router.requests.growing_answers import Answer
 
@@ -43,16 +41,11 @@
         """Answer with live nodes in allowed places, each with its prefix for request ids."""
         table = self.node.config.table
         name = self.get_query_argument("class", self.request.headers.get(CLASS_HEADER, ""))
-        found = identify(table, self.request.headers).bind(
-            lambda customer: find_class(table, customer, name).bind(
-                lambda pair: allowed_failure_domains(pair[0], customer)
-            )
-        )
-        match found:
+        match permit_of(table, self.request.headers, name):
             case Failure(problem):
                 self.refuse(problem)
-            case Success(failure_domains):
-                self.finish(self._addresses(failure_domains))
+            case Success(permit):
+                self.finish(self._addresses(permit.failure_domains))
 
     def _addresses(self, failure_domains: frozenset[str]) -> dict[str, object]:
         members = [
--- a/packages/springbridge-node/springbridge_node/class_router/main.py
+++ b/packages/springbridge-node/springbridge_node/class_router/main.py
@@ -1,4 +1,7 @@
-"""Command line of a node: ``springbridge serve``."""
+"""Command line of a node: ``springbridge serve``.
+
+Each option is a flag and an environment variable; docs/SETTINGS.md is written from them.
+"""
 
 import asyncio
 from typing import Annotated
@@ -15,6 +18,13 @@
 )
 
 PREFIX = "SPRINGBRIDGE_"
+# Default of the largest request body, in bytes. Not measured.
+DEFAULT_MAX_BODY_BYTES = 4_000_000
+# Default time for a sender to finish its body. Not measured.
+DEFAULT_BODY_TIMEOUT_S = 10.0
+# Default time for which callers keep addresses. A planned stop lasts at least this long, and a lost
+# node is in the answers of callers for up to this long. Not measured.
+DEFAULT_KEEP_ADDRESSES_S = 2.0
 
 
 def option(name: str, text: str) -> typer.models.OptionInfo:
@@ -23,6 +33,24 @@
     return typer.Option(f"--{name}", envvar=variable, help=text)
 
 
+INSTANCE = option("instance", "Name of this instance.")
+FAILURE_DOMAIN = option("place", "Failure domain in which this instance stands.")
+CALLER_ADDRESS = option("caller-address", "IP number:port for callers and operators.")
+PEER_ADDRESS = option("peer-address", "IP number:port for other nodes.")
+TABLE_ADDRESS = option("table-address", "IP number:port of the platform's table service.")
+LIST_ADDRESS = option("list-address", "IP number:port of the platform's list of instances.")
+PEER_TOKEN = option("peer-token", "Secret that all nodes share, 16 characters or more.")
+OPERATOR_TOKEN = option("operator-token", "Secret of the operators, 16 characters or more.")
+STATSD_ADDRESS = option("statsd-address", "IP number:port for metrics over UDP; empty for none.")
+POLICY = option("policy", "How engines are chosen: " + ", ".join(POLICIES) + ".")
+MAX_BODY_BYTES = option("max-body-bytes", "Largest request body, in bytes.")
+BODY_TIMEOUT_S = option("body-timeout-s", "Time for a sender to finish its body, in seconds.")
+KEEP_ADDRESSES_S = option(
+    "keep-addresses-s", "How long callers may keep an address answer, in seconds."
+)
+ABORT_ON_VIOLATION = option("abort-on-violation", "Stop at a violated invariant, for test runs.")
+
+
 def _show_version(value: bool) -> None:
     if value:
         typer.echo(__version__)
@@ -40,45 +68,20 @@
 
 @app.command()
 def serve(
-    instance: Annotated[str, option("instance", "Name of this instance.")],
-    failure_domain: Annotated[
-        str, option("place", "Failure domain in which this instance stands.")
-    ],
-    caller_address: Annotated[
-        str, option("caller-address", "IP number:port for callers and operators.")
-    ],
-    peer_address: Annotated[str, option("peer-address", "IP number:port for other nodes.")],
-    table_address: Annotated[
-        str, option("table-address", "IP number:port of the platform's table service.")
-    ],
-    list_address: Annotated[
-        str, option("list-address", "IP number:port of the platform's list of instances.")
-    ],
-    peer_token: Annotated[
-        str, option("peer-token", "Secret that all nodes share, 16 characters or more.")
-    ],
-    operator_token: Annotated[
-        str, option("operator-token", "Secret of the operators, 16 characters or more.")
-    ],
-    statsd_address: Annotated[
-        str, option("statsd-address", "IP number:port for metrics over UDP; empty for none.")
-    ] = "",
-    policy: Annotated[
-        str, option("policy", "How engines are chosen: " + ", ".join(POLICIES) + ".")
-    ] = "springbridge",
-    max_body_bytes: Annotated[
-        int, option("max-body-bytes", "Largest request body, in bytes.")
-    ] = 4_000_000,
-    body_timeout_s: Annotated[
-        float, option("body-timeout-s", "Time for a sender to finish its body, in seconds.")
-    ] = 10.0,
-    keep_addresses_s: Annotated[
-        float,
-        option("keep-addresses-s", "How long callers may keep an address answer, in seconds."),
-    ] = 2.0,
-    abort_on_violation: Annotated[
-        bool, option("abort-on-violation", "Stop at a violated invariant, for test runs.")
-    ] = False,
+    instance: Annotated[str, INSTANCE],
+    failure_domain: Annotated[str, FAILURE_DOMAIN],
+    caller_address: Annotated[str, CALLER_ADDRESS],
+    peer_address: Annotated[str, PEER_ADDRESS],
+    table_address: Annotated[str, TABLE_ADDRESS],
+    list_address: Annotated[str, LIST_ADDRESS],
+    peer_token: Annotated[str, PEER_TOKEN],
+    operator_token: Annotated[str, OPERATOR_TOKEN],
+    statsd_address: Annotated[str, STATSD_ADDRESS] = "",
+    policy: Annotated[str, POLICY] = "springbridge",
+    max_body_bytes: Annotated[int, MAX_BODY_BYTES] = DEFAULT_MAX_BODY_BYTES,
+    body_timeout_s: Annotated[float, BODY_TIMEOUT_S] = DEFAULT_BODY_TIMEOUT_S,
+    keep_addresses_s: Annotated[float, KEEP_ADDRESSES_S] = DEFAULT_KEEP_ADDRESSES_S,
+    abort_on_violation: Annotated[bool, ABORT_ON_VIOLATION] = False,
 ) -> None:
     """Run a node until it is told to stop (SIGTERM), then finish what runs and exit 0."""
     settings = Settings(**locals())
