--- a/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
@@ -1,10 +1,13 @@
-"""Callers' interface: chat completions, plain services, addresses."""
+"""Callers' interface: chat completions, plain services, addresses.
+
+Translates between HTTP and the node's parts: reads bodies, and writes answers as they grow.
+"""
 
 import time
 from dataclasses import dataclass
 
 import orjson
-from returns.result import Failure, Success
+from returns.result import Failure, Result, Success
 from springbridge.classes import request_ids
 from springbridge.classes.stream import Chunk
 from springbridge.codes import Code, Fate
@@ -28,17 +31,17 @@
 
 @dataclass(frozen=True)
 class ChatCall:
-    """What the node reads of a chat completion's body."""
+    """What the node reads of a chat completion's body; the engine gets the body as it came."""
 
     stream: bool
     prompt_tokens: int
 
 
 class AddressesHandler(CallerHandler):
-    """Tells callers which nodes to use for a class, and for how long to keep the answer."""
+    """Addresses: which nodes callers may use for a class, and for how long to keep the answer."""
 
     def get(self) -> None:
-        """Answer with live nodes in allowed places, each with its prefix for request ids."""
+        """Answer with the live nodes in allowed failure domains, each with a prefix for ids."""
         table = self.node.config.table
         name = self.get_query_argument("class", self.request.headers.get(CLASS_HEADER, ""))
         match permit_of(table, self.request.headers, name):
@@ -71,14 +74,20 @@
     """OpenAI-style chat completions, streamed or whole."""
 
     async def _run(self, admitted: Admitted) -> None:
-        call = read_chat(bytes(self.body))
-        if isinstance(call, Problem):
-            self.refuse(self.promised(call))
-            return
-        answer = self.start(admitted, call.prompt_tokens, "")
-        if isinstance(answer, Problem):
-            self.refuse(answer)
-            return
+        match read_chat(bytes(self.body)):
+            case Failure(problem):
+                self.refuse(self.promised(problem))
+            case Success(call):
+                await self._complete(admitted, call)
+
+    async def _complete(self, admitted: Admitted, call: ChatCall) -> None:
+        """Run a chat completion and write its answer, streamed or whole."""
+        match self.start(admitted, call.prompt_tokens, ""):
+            case Failure(problem):
+                self.refuse(problem)
+                return
+            case Success(answer):
+                pass
         if call.stream:
             await self._stream(admitted, answer)
         else:
@@ -104,7 +113,7 @@
         self.node.metrics.incr("answers.OK")
 
     async def _stream(self, admitted: Admitted, answer: Answer) -> None:
-        """Write the answer as server-sent events, the first of which decides the status."""
+        """Write the answer as server-sent events; its first chunk decides on the status."""
         started = False
         try:
             async for chunk in answer.follow():
@@ -131,16 +140,18 @@
         )
 
     def _end_stream(self, problem: Problem | None) -> None:
-        """Write the end marker, or an error event in its place."""
+        """Write the end marker, or an error event in its place.
+
+        Part of the answer is out, so the error event never says that the request did not run.
+        """
         if problem is None:
             self.finish(b"data: [DONE]\n\n")
             self.node.metrics.incr("answers.OK")
             return
-        told = problem
         if problem.info.fate is Fate.NOT_RUN:
-            told = Problem(Code.ENGINE_FAILED, problem.code.name)
-        self.node.metrics.incr(f"answers.{told.code.name}")
-        self.finish(b"event: error\ndata: " + orjson.dumps({"error": describe(told)}) + b"\n\n")
+            problem = Problem(Code.ENGINE_FAILED, problem.code.name)
+        self.node.metrics.incr(f"answers.{problem.code.name}")
+        self.finish(b"event: error\ndata: " + orjson.dumps({"error": describe(problem)}) + b"\n\n")
 
 
 class ServiceHandler(WorkHandler):
@@ -154,10 +165,12 @@
 
     async def _run(self, admitted: Admitted) -> None:
         path = "/" + self.path_args[1]
-        answer = self.start(admitted, 0, path)
-        if isinstance(answer, Problem):
-            self.refuse(answer)
-            return
+        match self.start(admitted, 0, path):
+            case Failure(problem):
+                self.refuse(problem)
+                return
+            case Success(answer):
+                pass
         await answer.whole()
         if answer.problem is not None:
             self.refuse(answer.problem)
@@ -169,7 +182,7 @@
 
 
 def event(request_id: str, chunk: Chunk) -> bytes:
-    """Return a piece as a server-sent event."""
+    """Return a chunk of an answer as a server-sent event."""
     choice = {
         "index": 0,
         "delta": {"content": chunk.text},
@@ -185,15 +198,19 @@
     return b"data: " + orjson.dumps(body) + b"\n\n"
 
 
-def read_chat(body: bytes) -> ChatCall | Problem:
-    """Return what matters of a chat completion's body, or BODY_MALFORMED."""
+def read_chat(body: bytes) -> Result[ChatCall, Problem]:
+    """Return what the node needs of a chat completion's body, or BODY_MALFORMED."""
     try:
         raw = orjson.loads(body)
         messages = raw["messages"]
         chars = sum(len(message["content"]) for message in messages)
         stream = raw.get("stream", False)
     except (ValueError, KeyError, TypeError, AttributeError):
-        return Problem(Code.BODY_MALFORMED, "messages with role and content are needed")
+        return _malformed("messages with role and content are needed")
     if not messages or not isinstance(stream, bool):
-        return Problem(Code.BODY_MALFORMED, "messages must not be empty, stream is true or false")
-    return ChatCall(stream, 1 + chars // CHARS_PER_TOKEN)
+        return _malformed("messages must not be empty, stream is true or false")
+    return Success(ChatCall(stream, 1 + chars // CHARS_PER_TOKEN))
+
+
+def _malformed(detail: str) -> Result[ChatCall, Problem]:
+    return Failure(Problem(Code.BODY_MALFORMED, detail))
--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -1,11 +1,15 @@
-"""Requests that run at an endpoint: checked before their body is read, admitted, started."""
+"""Requests that run at an endpoint: checked before their body is read, admitted, started.
+
+One handler is one request. Its state: whether it was refused, its body so far, the timer that
+bounds the reading of the body, and the task of work that may be cancelled.
+"""
 
 import asyncio
 import secrets
 import time
 from collections.abc import Callable
 
-from returns.result import Failure, Success
+from returns.result import Failure, Result, Success
 from springbridge.classes import request_ids
 from springbridge.classes.entities import Endpoint, Request
 from springbridge.classes.placement import allowed_endpoints
@@ -28,10 +32,17 @@
 
 @stream_request_body
 class WorkHandler(CallerHandler):
-    """A request that runs at an endpoint; it is checked before its body is read."""
+    """A request that runs at an endpoint.
+
+    Attributes:
+      arrived_s: When its headers were read, on the node's monotonic clock.
+      refused: Whether it was answered before its body was read; the rest of that is discarded.
+      task: The work of a repeatable request; it is cancelled when the caller goes away.
+      admitted: What its headers ask for, None before they are checked.
+    """
 
     def prepare(self) -> None:
-        """Refuse what need not be read, and give the sender a time for the rest."""
+        """Refuse by the headers where possible, and give the sender a time for the body."""
         self.arrived_s = self.node.clock()
         self.body = bytearray()
         self.refused = False
@@ -46,7 +57,7 @@
             self._refuse_unread(self.promised(problem))
 
     def _problem_before_body(self) -> Problem | None:
-        """Return why the request is refused unread, if it is."""
+        """Return why the request is refused by its headers, or None."""
         if self.request.method != "POST":
             return Problem(Code.UNKNOWN_PATH, "use POST", self.request.path[:100])
         length = self.request.headers.get("Content-Length", "0")
@@ -63,27 +74,27 @@
         return self._wrong_place(admitted) or self._wrong_kind(admitted) or self.node.closed()
 
     def _wrong_place(self, admitted: Admitted) -> Problem | None:
-        """Return a problem where this node stands in a place that may not handle the data."""
+        """Return a problem where this node's failure domain may not handle the data."""
         failure_domain = self.node.settings.failure_domain
         if failure_domain in admitted.failure_domains:
             return None
         return Problem(Code.WRONG_PLACE, source=failure_domain)
 
     def promised(self, problem: Problem) -> Problem:
-        """Return what may be told of a request that is refused without being run here."""
+        """Return the problem to answer with: "not run" only where this node can promise it."""
         if self.admitted is None:
             return problem
         owner = self.admitted.owner
         return self.node.at_most_once.promised(self.admitted.request_id, owner, problem)
 
     def _wrong_kind(self, admitted: Admitted) -> Problem | None:
-        """Return a problem where the class is for another kind of target."""
+        """Return a problem where the path does not fit the class; subclasses know which do."""
         return None
 
     def _refuse_unread(self, problem: Problem) -> None:
-        """Answer at once, discard what still comes of the body for a moment, then close.
+        """Answer at once, discard the rest of the body for DISCARD_S, then close.
 
-        Closing at once would reset the connection under a sender that has not read the answer.
+        Closing at once would reset the connection before the sender has read the answer.
         """
         self._timer.cancel()
         self.refused = True
@@ -134,8 +145,8 @@
         """Run an admitted request and write its answer."""
         raise NotImplementedError
 
-    def start(self, admitted: Admitted, prompt_tokens: int, path: str) -> Answer | Problem:
-        """Start the request's work and return its answer."""
+    def start(self, admitted: Admitted, prompt_tokens: int, path: str) -> Result[Answer, Problem]:
+        """Start the request's work, or find the work of an earlier try, and return its answer."""
         request_id = admitted.request_id or self._own_id()
         self.repeatable = admitted.repeatable
         request = Request(
@@ -151,15 +162,11 @@
         )
         work = Work(request, bytes(self.body), path, self._endpoints(admitted), self.arrived_s)
         if not request.repeatable:
-            match self.node.at_most_once.serve(work, request_id, admitted.owner):
-                case Failure(problem):
-                    return problem
-                case Success(answer):
-                    return answer
+            return self.node.at_most_once.serve(work, request_id, admitted.owner)
         answer = Answer(request_id.text)
         running = self.node.at_most_once.run_repeatable(work, request_id, admitted.owner, answer)
         self.task = asyncio.create_task(running)
-        return answer
+        return Success(answer)
 
     def _own_id(self) -> RequestId:
         """Return an id for a request that came without one; this node is its home."""
@@ -169,7 +176,10 @@
         return RequestId(text, me, int(now_s))
 
     def _endpoints(self, admitted: Admitted) -> Callable[[], tuple[Endpoint, ...]]:
-        """Return what finds the endpoints that the request may use under the table in force."""
+        """Return a function that finds the endpoints that the table in force allows.
+
+        It is called for each attempt, since the table may change while the request waits.
+        """
 
         def endpoints() -> tuple[Endpoint, ...]:
             table = self.node.config.table
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 import orjson
-from returns.result import Failure, Success
+from returns.result import Failure, Result, Success
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import OrderKind, TableStore
 from springbridge.classes.table.changes import Edit
@@ -49,7 +49,7 @@
         self.parts = parts
 
     def prepare(self) -> None:
-        """Refuse whoever does not know the operators' token."""
+        """Refuse a request without the operators' token."""
         given = self.request.headers.get(TOKEN_HEADER, "")
         token = self.parts.node.settings.operator_token
         if not hmac.compare_digest(given.encode(), token.encode()):
@@ -84,10 +84,13 @@
 
     async def post(self) -> None:
         """Accept or refuse an edit."""
-        request = read_edit(self.request.body)
-        if isinstance(request, Problem):
-            self.refuse([request])
-            return
+        match read_edit(self.request.body):
+            case Failure(problem):
+                self.refuse([problem])
+            case Success(request):
+                await self._edit(request)
+
+    async def _edit(self, request: EditRequest) -> None:
         match await self.parts.editor.edit(request):
             case Success(version):
                 self.reply({"version": version})
@@ -138,7 +141,7 @@
         """Answer with members, version, schedulers, invariants and counts."""
         parts = self.parts
         node = parts.node
-        messages, sent_bytes = parts.links.sent()
+        sent = parts.links.sent()
         closed = node.closed()
         self.reply(
             {
@@ -151,8 +154,8 @@
                 "bound_tasks": len(node.at_most_once.tasks),
                 "violations": dict(parts.invariants.violations),
                 "checks": dict(parts.invariants.checks),
-                "sent_messages": messages,
-                "sent_bytes": sent_bytes,
+                "sent_messages": sent.messages,
+                "sent_bytes": sent.bytes,
                 "engines": [
                     {
                         "engine": name,
@@ -170,7 +173,7 @@
 
 
 def _member_row(member: Member) -> dict[str, object]:
-    """Return a member as the status shows it; some names are older than the record's."""
+    """Return a member as the status shows it; operators' tools know some fields by older names."""
     return {
         "incarnation": member.incarnation,
         "instance": member.instance,
@@ -189,7 +192,7 @@
     }
 
 
-def read_edit(body: bytes) -> EditRequest | Problem:
+def read_edit(body: bytes) -> Result[EditRequest, Problem]:
     """Return the edit in a body, or BODY_MALFORMED."""
     try:
         raw = orjson.loads(body)
@@ -202,7 +205,11 @@
             edits,
         )
     except (ValueError, KeyError, TypeError):
-        return Problem(Code.BODY_MALFORMED, "an edit needs change_id, who, base_version and edits")
+        return _malformed("an edit needs change_id, who, base_version and edits")
     if not request.change_id or not request.who or not request.edits:
-        return Problem(Code.BODY_MALFORMED, "change_id, who and edits must not be empty")
-    return request
+        return _malformed("change_id, who and edits must not be empty")
+    return Success(request)
+
+
+def _malformed(detail: str) -> Result[EditRequest, Problem]:
+    return Failure(Problem(Code.BODY_MALFORMED, detail))
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
@@ -12,6 +12,7 @@
 from collections import deque
 from collections.abc import Callable
 from contextlib import asynccontextmanager
+from dataclasses import dataclass
 
 from grpclib.client import Channel
 
@@ -36,6 +37,14 @@
 NODE_KEY = "springbridge-node"
 
 
+@dataclass(frozen=True)
+class Sent:
+    """Messages, and bytes of their envelopes, that were sent to peers."""
+
+    messages: int
+    bytes: int
+
+
 class PeerLink:
     """The stream to one peer address."""
 
@@ -140,10 +149,12 @@
             link = self._open(address)
         link.send(message)
 
-    def sent(self) -> tuple[int, int]:
-        """Return how many messages and bytes were sent on the links that are open."""
+    def sent(self) -> Sent:
+        """Return what was sent on the links that are open now."""
         links = self._links.values()
-        return sum(link.sent_messages for link in links), sum(link.sent_bytes for link in links)
+        return Sent(
+            sum(link.sent_messages for link in links), sum(link.sent_bytes for link in links)
+        )
 
     async def close(self) -> None:
         """End all streams."""
