--- a/packages/springbridge-node/springbridge_node/class_router/config/editing.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/editing.py
@@ -14,10 +14,15 @@
 
 from springbridge_node import logs
 from springbridge_node.class_router.config.config_sync import ConfigSync
-from springbridge_node.class_router.endpoints.endpoint_http import ModelClient
+from springbridge_node.class_router.endpoints.model_client import ModelClient
 
+# Tries to commit an edit that keeps losing races against edits of other rows. Not measured.
 COMMIT_TRIES = 5
+# What must be left of a lease (10 s) when an order goes to an endpoint that checks no fencing
+# token. It covers a pause of the node between this check and the send; a longer one is not
+# covered.
 LEASE_MARGIN_S = 5.0
+# When an operator may try again while the table is out: two intervals of reading it. Not measured.
 OUTAGE_RETRY_S = 2.0
 
 
@@ -159,10 +164,10 @@
         self, endpoint: Endpoint, kind: OrderKind, argument: str, lease: OrderLease
     ) -> Result[int, Problem]:
         try:
-            taken, word = await self._client.order(endpoint, kind, argument, lease)
+            reply = await self._client.order(endpoint, kind, argument, lease)
         except (TimeoutError, OSError) as exc:
             return Failure(Problem(Code.OUTCOME_UNKNOWN, type(exc).__name__, endpoint.name))
-        if not taken:
-            return Failure(Problem(Code.ORDER_REFUSED, word, endpoint.name))
+        if not reply.taken:
+            return Failure(Problem(Code.ORDER_REFUSED, reply.text, endpoint.name))
         logs.event("order.taken", engine=endpoint.name, order=kind.value, epoch=lease.epoch)
         return Success(lease.epoch)
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 import orjson
-from returns.result import Failure, Success
+from returns.result import Failure, Result, Success
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import OrderKind, TableStore
 from springbridge.classes.table.changes import Edit
@@ -17,18 +17,20 @@
 from springbridge_node.class_router.callers.caller_handler import JSON, describe
 from springbridge_node.class_router.config.editing import Editor, EditRequest, Orders
 from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
-from springbridge_node.class_router.node_parts import Services
+from springbridge_node.class_router.node_parts import NodeParts
 from springbridge_node.class_router.peers.peer_links import PeerLinks
 
 TOKEN_HEADER = "Springbridge-Operator-Token"
+# Changes in one answer of the audit trail; `after` asks for the next. Bounds the scan of the
+# platform's table. Not measured.
 AUDIT_LIMIT = 1000
 
 
 @dataclass(frozen=True)
-class OperatorServices:
+class OperatorParts:
     """What the operators' handlers need."""
 
-    node: Services
+    node: NodeParts
     store: TableStore
     editor: Editor
     orders: Orders
@@ -40,16 +42,16 @@
 class OperatorHandler(RequestHandler):
     """What all handlers of operators share: the token, and answers to problems."""
 
-    services: OperatorServices
+    parts: OperatorParts
 
-    def initialize(self, services: OperatorServices) -> None:
+    def initialize(self, parts: OperatorParts) -> None:
         """Keep the node's parts."""
-        self.services = services
+        self.parts = parts
 
     def prepare(self) -> None:
-        """Refuse whoever does not know the operators' token."""
+        """Refuse a request without the operators' token."""
         given = self.request.headers.get(TOKEN_HEADER, "")
-        token = self.services.node.settings.operator_token
+        token = self.parts.node.settings.operator_token
         if not hmac.compare_digest(given.encode(), token.encode()):
             self.refuse([Problem(Code.OPERATOR_UNKNOWN, source=TOKEN_HEADER)])
 
@@ -78,15 +80,18 @@
 
     def get(self) -> None:
         """Answer with the version and rows in force on this node."""
-        self.reply(self.services.node.config.snapshot)
+        self.reply(self.parts.node.config.snapshot)
 
     async def post(self) -> None:
         """Accept or refuse an edit."""
-        request = read_edit(self.request.body)
-        if isinstance(request, Problem):
-            self.refuse([request])
-            return
-        match await self.services.editor.edit(request):
+        match read_edit(self.request.body):
+            case Failure(problem):
+                self.refuse([problem])
+            case Success(request):
+                await self._edit(request)
+
+    async def _edit(self, request: EditRequest) -> None:
+        match await self.parts.editor.edit(request):
             case Success(version):
                 self.reply({"version": version})
             case Failure(problems):
@@ -102,7 +107,7 @@
         if not after.isdecimal():
             self.refuse([Problem(Code.HEADER_MALFORMED, "after takes a version")])
             return
-        match await self.services.store.changes(int(after), AUDIT_LIMIT):
+        match await self.parts.store.changes(int(after), AUDIT_LIMIT):
             case Success(changes):
                 self.reply({"changes": changes})
             case Failure(problem):
@@ -118,11 +123,11 @@
             raw = orjson.loads(self.request.body)
             kind = OrderKind(raw["order"])
             argument = str(raw["argument"])
-            endpoint = self.services.node.config.table.endpoints[raw["engine"]]
+            endpoint = self.parts.node.config.table.endpoints[raw["engine"]]
         except (ValueError, KeyError, TypeError):
             self.refuse([Problem(Code.BODY_MALFORMED, "engine, order and argument are needed")])
             return
-        match await self.services.orders.give(endpoint, kind, argument):
+        match await self.parts.orders.give(endpoint, kind, argument):
             case Success(epoch):
                 self.reply({"epoch": epoch})
             case Failure(problem):
@@ -134,9 +139,9 @@
 
     def get(self) -> None:
         """Answer with members, version, schedulers, invariants and counts."""
-        services = self.services
-        node = services.node
-        messages, sent_bytes = services.links.sent()
+        parts = self.parts
+        node = parts.node
+        sent = parts.links.sent()
         closed = node.closed()
         self.reply(
             {
@@ -146,11 +151,11 @@
                 "version": node.config.table.version,
                 "live": sorted(node.membership.incarnations()),
                 "running": node.running,
-                "bound_tasks": len(node.home.tasks),
-                "violations": dict(services.invariants.violations),
-                "checks": dict(services.invariants.checks),
-                "sent_messages": messages,
-                "sent_bytes": sent_bytes,
+                "bound_tasks": len(node.at_most_once.tasks),
+                "violations": dict(parts.invariants.violations),
+                "checks": dict(parts.invariants.checks),
+                "sent_messages": sent.messages,
+                "sent_bytes": sent.bytes,
                 "engines": [
                     {
                         "engine": name,
@@ -161,14 +166,14 @@
                         "waiting": len(scheduler.queue),
                         "suspect": scheduler.health.suspect,
                     }
-                    for name, scheduler in services.hosts.schedulers.items()
+                    for name, scheduler in parts.hosts.schedulers.items()
                 ],
             }
         )
 
 
 def _member_row(member: Member) -> dict[str, object]:
-    """Return a member as the status shows it; some names are older than the record's."""
+    """Return a member as the status shows it; operators' tools know some fields by older names."""
     return {
         "incarnation": member.incarnation,
         "instance": member.instance,
@@ -187,7 +192,7 @@
     }
 
 
-def read_edit(body: bytes) -> EditRequest | Problem:
+def read_edit(body: bytes) -> Result[EditRequest, Problem]:
     """Return the edit in a body, or BODY_MALFORMED."""
     try:
         raw = orjson.loads(body)
@@ -200,7 +205,11 @@
             edits,
         )
     except (ValueError, KeyError, TypeError):
-        return Problem(Code.BODY_MALFORMED, "an edit needs change_id, who, base_version and edits")
+        return _malformed("an edit needs change_id, who, base_version and edits")
     if not request.change_id or not request.who or not request.edits:
-        return Problem(Code.BODY_MALFORMED, "change_id, who and edits must not be empty")
-    return request
+        return _malformed("change_id, who and edits must not be empty")
+    return Success(request)
+
+
+def _malformed(detail: str) -> Result[EditRequest, Problem]:
+    return Failure(Problem(Code.BODY_MALFORMED, detail))
--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -13,7 +13,11 @@
 
 from springbridge_node.class_router.peers.messages import Message
 
+# Longest wait for a lease; then the node admits its equal part of the limit. Callers wait this long
+# for the first token when an owner is lost. Not measured; far above one exchange with a peer.
 OWNER_PATIENCE_S = 0.25
+# How long a limit that nobody uses is remembered after its last lease. Bounds memory only. Not
+# measured.
 IDLE_KEEP_S = 60.0
 
 Key = tuple[str, str]
@@ -71,6 +75,7 @@
             async with asyncio.timeout(OWNER_PATIENCE_S):
                 await asyncio.shield(answer)
         except TimeoutError:
+            # A silent owner costs accuracy, not requests: the node admits its equal part.
             limit.fall_back(self._clock(), self._nodes())
             self._answered(key)
         return asks
