--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 	touch .venv/ready
 
 demo: setup
-	$(BIN)/python -m springbridge_standins.demo
+	$(BIN)/python -m springbridge_standins.class_router.demo
 
 lint: setup
 	$(BIN)/black --quiet --check .
@@ -31,13 +31,13 @@
 		-I. --python_out=. --grpclib_python_out=. springbridge_node/class_router/peers/proto/peer.proto
 
 soak: setup
-	$(BIN)/python -m springbridge_standins.soak --seed $(SEED) --minutes $(MINUTES)
+	$(BIN)/python -m springbridge_standins.class_router.soak --seed $(SEED) --minutes $(MINUTES)
 
 # SEEDS soaks of MINUTES each on the users' platform, from SEED on; with NODES=20 a large fleet's ways.
 SEEDS ?= 1
 NODES ?= 4
 soak-platform: setup
-	$(BIN)/python -m springbridge_standins.users_platform.soak --seed $(SEED) --seeds $(SEEDS) \
+	$(BIN)/python -m springbridge_standins.gateway.soak --seed $(SEED) --seeds $(SEEDS) \
 		--minutes $(MINUTES) --nodes $(NODES)
 
 capacity: setup
--- a/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
@@ -8,7 +8,7 @@
 import pytest
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
-from springbridge_standins.caller import until
+from springbridge_standins.class_router.caller import until
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
 
--- a/packages/springbridge-node/springbridge_node/class_router/conftest.py
+++ b/packages/springbridge-node/springbridge_node/class_router/conftest.py
@@ -3,8 +3,8 @@
 import asyncio
 
 import pytest
-from springbridge_standins.caller import Address, Call, new_id, until
-from springbridge_standins.world import World, running_world
+from springbridge_standins.class_router.caller import Address, Call, new_id, until
+from springbridge_standins.class_router.world import World, running_world
 
 KEY = "key-perth-airport"
 
--- a/packages/springbridge-node/springbridge_node/class_router/platform_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/platform_test.py
@@ -8,9 +8,9 @@
 from springbridge.classes.ports import OrderKind
 from springbridge.classes.table.changes import Change, Edit
 from springbridge.codes import Code
-from springbridge_standins.engine import ModelEngine
+from springbridge_standins.class_router.engine import ModelEngine
+from springbridge_standins.class_router.table_service import Platform
 from springbridge_standins.free_addresses import free_address
-from springbridge_standins.platform import Platform
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength, Is
 
--- a/packages/springbridge-standins/springbridge_standins/capacity.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/capacity.py
@@ -9,16 +9,15 @@
 from dataclasses import asdict
 from pathlib import Path
 
-import typer
 from springbridge.membership import DIGEST_LIMIT
 
-from springbridge_standins.caller import Call
-from springbridge_standins.capacity_fit import MICROSECOND, Slope, fit
-from springbridge_standins.capacity_library import library_slopes
-from springbridge_standins.process_time import cpu_s, resident_mb
-from springbridge_standins.world import World, running_world
+from springbridge_standins.capacity.fit import MICROSECOND, Slope, fit
+from springbridge_standins.capacity.library import library_slopes
+from springbridge_standins.capacity.process_time import cpu_s, resident_mb
+from springbridge_standins.class_router.caller import Call
+from springbridge_standins.class_router.world import World, running_world
 
-RESULTS = Path(__file__).parents[3] / "bench" / "capacity.json"
+RESULTS = Path(__file__).parents[4] / "bench" / "capacity.json"
 IDLE_S = 10.0
 STREAM_TOKENS = 400
 
@@ -131,7 +130,3 @@
         show(slope)
     print(f"a digest holds at most {DIGEST_LIMIT} members")
     RESULTS.write_text(json.dumps([asdict(slope) for slope in slopes], indent=1) + "\n")
-
-
-if __name__ == "__main__":
-    typer.run(main)
--- a/packages/springbridge-standins/springbridge_standins/capacity_library.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/library.py
@@ -18,7 +18,7 @@
 from springbridge_node.class_router.peers.messages import Digest
 from springbridge_node.class_router.peers.peer_codec import decode, encode
 
-from springbridge_standins.capacity_fit import Slope, measure, memory
+from springbridge_standins.capacity.fit import Slope, measure, memory
 
 
 def an_ask(name: str, tier: Tier = Tier.STANDARD) -> Ask:
--- a/packages/springbridge-standins/springbridge_standins/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/caller.py
@@ -9,7 +9,7 @@
 from springbridge.codes import Code
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
-from springbridge_standins.engine_stream import answer_tag, answer_text
+from springbridge_standins.class_router.engine_stream import answer_tag, answer_text
 
 REQUEST_TIMEOUT_S = 600.0
 ADDRESS_TIMEOUT_S = 2.0
--- a/packages/springbridge-standins/springbridge_standins/demo.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/demo.py
@@ -10,8 +10,8 @@
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 
-from springbridge_standins.caller import Call, Reply, new_id
-from springbridge_standins.world import World, running_world
+from springbridge_standins.class_router.caller import Call, Reply, new_id
+from springbridge_standins.class_router.world import World, running_world
 
 NODES = 3
 FLEETS = {"findwell.csv": "perth-airport", "archive.csv": "land-registry"}
--- a/packages/springbridge-standins/springbridge_standins/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/engine.py
@@ -12,7 +12,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, RequestHandler
 
-from springbridge_standins.engine_handlers import (
+from springbridge_standins.class_router.engine_handlers import (
     FROZEN_POLL_S,
     CancelHandler,
     CounterHandler,
@@ -22,7 +22,7 @@
     OrderHandler,
     ResumeHandler,
 )
-from springbridge_standins.engine_stream import Faults, Stream, answer_tag
+from springbridge_standins.class_router.engine_stream import Faults, Stream, answer_tag
 
 TOKENS_PER_STEP = 4
 STEP_S = 0.1
--- a/packages/springbridge-standins/springbridge_standins/engine_handlers.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/engine_handlers.py
@@ -7,7 +7,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.web import RequestHandler
 
-from springbridge_standins.engine_stream import Stream, answer_text
+from springbridge_standins.class_router.engine_stream import Stream, answer_text
 
 if TYPE_CHECKING:
     from springbridge_standins.engine import ModelEngine
--- a/packages/springbridge-standins/springbridge_standins/serve.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/serve.py
@@ -1,4 +1,4 @@
-"""Command line that runs stand-ins: ``python -m springbridge_standins.serve KIND ADDRESS...``."""
+"""Runs stand-ins: ``python -m springbridge_standins.class_router.serve KIND ADDRESS...``."""
 
 import asyncio
 from enum import StrEnum
@@ -6,9 +6,9 @@
 
 import typer
 
-from springbridge_standins.engine import ModelEngine
-from springbridge_standins.platform import Platform
-from springbridge_standins.service import PlainService
+from springbridge_standins.class_router.engine import ModelEngine
+from springbridge_standins.class_router.service import PlainService
+from springbridge_standins.class_router.table_service import Platform
 
 
 class Kind(StrEnum):
--- a/packages/springbridge-standins/springbridge_standins/soak_faults.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/faults.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from springbridge_standins.soak_state import Soak
+from springbridge_standins.class_router.soak.state import Soak
 
 Fault = Callable[[Soak, float], Awaitable[None]]
 
--- a/packages/springbridge-standins/springbridge_standins/load.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/load.py
@@ -8,8 +8,8 @@
 
 from springbridge.codes import Code
 
-from springbridge_standins.caller import Address, Call, Reply, new_id
-from springbridge_standins.world import World
+from springbridge_standins.class_router.caller import Address, Call, Reply, new_id
+from springbridge_standins.class_router.world import World
 
 MOST_TRIES = 6
 LONGEST_BACKOFF_S = 5.0
--- a/packages/springbridge-standins/springbridge_standins/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/soak.py
@@ -19,10 +19,10 @@
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 
-from springbridge_standins.load import Load, customers_of, fleet_streams
-from springbridge_standins.soak_faults import FAULTS
-from springbridge_standins.soak_state import NODES, Soak
-from springbridge_standins.world import (
+from springbridge_standins.class_router.soak.faults import FAULTS
+from springbridge_standins.class_router.soak.load import Load, customers_of, fleet_streams
+from springbridge_standins.class_router.soak.state import NODES, Soak
+from springbridge_standins.class_router.world import (
     NO_REPLY,
     running_world,
 )
@@ -190,7 +190,3 @@
         print(f"VIOLATION {finding}")
     print(f"verdict: {len(soak.findings)} violations")
     sys.exit(1 if soak.findings else 0)
-
-
-if __name__ == "__main__":
-    typer.run(main)
--- a/packages/springbridge-standins/springbridge_standins/soak_test.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/soak_test.py
@@ -6,7 +6,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from springbridge_standins.soak import soak_run
+from springbridge_standins.class_router.soak.soak import soak_run
 
 SECONDS = 15.0
 
--- a/packages/springbridge-standins/springbridge_standins/soak_state.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/state.py
@@ -5,9 +5,9 @@
 from contextlib import AsyncExitStack
 from dataclasses import dataclass, field
 
+from springbridge_standins.class_router.relay import Relay, running_relay
+from springbridge_standins.class_router.world import NodeProcess, World
 from springbridge_standins.free_addresses import free_address
-from springbridge_standins.relay import Relay, running_relay
-from springbridge_standins.world import NodeProcess, World
 
 NODES = 4
 
--- a/packages/springbridge-standins/springbridge_standins/world.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/world.py
@@ -16,7 +16,7 @@
 from springbridge.classes.table.rows import Cells
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
-from springbridge_standins.caller import Caller, control, until
+from springbridge_standins.class_router.caller import Caller, control, until
 from springbridge_standins.free_addresses import free_address, with_free_addresses
 
 PEER_TOKEN = "peer-token-for-tests"
@@ -27,7 +27,7 @@
 STOP_S = 30.0
 NO_REPLY = -1
 FIRST_VERSION = 1
-EXAMPLES = Path(__file__).parents[3] / "examples"
+EXAMPLES = Path(__file__).parents[4] / "examples"
 
 
 @dataclass
@@ -102,7 +102,7 @@
 
     async def start_standin(self, kind: str, addresses: list[str]) -> None:
         """Start one process of stand-ins of a kind."""
-        command = ["-m", "springbridge_standins.serve", kind, *addresses]
+        command = ["-m", "springbridge_standins.class_router.serve", kind, *addresses]
         self.standins.append(await self._spawn(f"{kind}-{addresses[0]}", command))
 
     async def _spawn(self, name: str, command: list[str]) -> asyncio.subprocess.Process:
--- a/packages/springbridge-standins/springbridge_standins/users_platform/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/caller.py
@@ -3,7 +3,7 @@
 import asyncio
 import itertools
 
-from springbridge_standins.users_platform.wire import RawAnswer, read_answer
+from springbridge_standins.http_wire import RawAnswer, read_answer
 
 LONGEST_ANSWER_S = 10.0
 
--- a/packages/springbridge-standins/springbridge_standins/users_platform/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/engine.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections.abc import AsyncIterator, Awaitable, Callable
 
-from springbridge_standins.users_platform.wire import (
+from springbridge_standins.http_wire import (
     Connection,
     RawRequest,
     answer,
--- a/packages/springbridge-standins/springbridge_standins/users_platform/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
@@ -11,8 +11,8 @@
 from springbridge_node.gateway.gateway import Gateway, Outside
 from springbridge_node.gateway.gateway_settings import Addresses, GatewaySettings
 
-from springbridge_standins.users_platform.engine import EngineStandIn, Script, running_engine
-from springbridge_standins.users_platform.store import StoreStandIn, running_store
+from springbridge_standins.gateway.engine import EngineStandIn, Script, running_engine
+from springbridge_standins.gateway.store import StoreStandIn, running_store
 
 BUDGET = BudgetTerms(ratio=0.2, slack=20, window_s=10.0)
 PORTS = 6
--- a/packages/springbridge-standins/springbridge_standins/users_platform/scripts.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/scripts.py
@@ -1,6 +1,6 @@
 """Scripts for the engines of a test's fleet."""
 
-from springbridge_standins.users_platform.wire import (
+from springbridge_standins.http_wire import (
     answer,
 )
 
--- /dev/null
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/__main__.py
@@ -0,0 +1,7 @@
+"""Runs soak from the command line."""
+
+import typer
+
+from springbridge_standins.gateway.soak.soak import main
+
+typer.run(main)
--- a/packages/springbridge-standins/springbridge_standins/users_platform/soak_callers.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/callers.py
@@ -9,10 +9,10 @@
 
 import orjson
 
-from springbridge_standins.users_platform.caller import CallerConnection, ask
-from springbridge_standins.users_platform.soak_checks import check_answer, check_no_answer
-from springbridge_standins.users_platform.soak_engine import digest
-from springbridge_standins.users_platform.soak_state import Asked, Soak
+from springbridge_standins.gateway.caller import CallerConnection, ask
+from springbridge_standins.gateway.soak.checks import check_answer, check_no_answer
+from springbridge_standins.gateway.soak.engine import digest
+from springbridge_standins.gateway.soak.state import Asked, Soak
 
 PATHS = ("/safe/x", "/once/x", "/stream/x", "/single/x")
 PROMPTS = 6
--- a/packages/springbridge-standins/springbridge_standins/users_platform/soak_checks.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
@@ -1,8 +1,8 @@
 """The promises that the soak checks, from what callers got and engines saw."""
 
-from springbridge_standins.users_platform.soak_engine import plain_of, stream_of
-from springbridge_standins.users_platform.soak_state import Soak
-from springbridge_standins.users_platform.wire import RawAnswer
+from springbridge_standins.gateway.soak.engine import plain_of, stream_of
+from springbridge_standins.gateway.soak.state import Soak
+from springbridge_standins.http_wire import RawAnswer
 
 CUSTOMER = "councils"
 RUN_ONCE = frozenset({"/once/x", "/single/x"})
--- a/packages/springbridge-standins/springbridge_standins/users_platform/soak_engine.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/engine.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from springbridge_standins.users_platform.wire import (
+from springbridge_standins.http_wire import (
     Connection,
     RawRequest,
     answer,
--- a/packages/springbridge-standins/springbridge_standins/users_platform/soak_harms.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
@@ -5,11 +5,11 @@
 import signal
 from collections.abc import AsyncIterator
 
-from springbridge_standins.users_platform.fleet import configuration
-from springbridge_standins.users_platform.proxy import Harm, LoopbackProxy
-from springbridge_standins.users_platform.soak_nodes import NodeProcess
-from springbridge_standins.users_platform.soak_state import Soak, list_engine
-from springbridge_standins.users_platform.store import StoreFault
+from springbridge_standins.gateway.fleet import configuration
+from springbridge_standins.gateway.soak.nodes import NodeProcess
+from springbridge_standins.gateway.soak.state import Soak, list_engine
+from springbridge_standins.gateway.store import StoreFault
+from springbridge_standins.proxy import Harm, LoopbackProxy
 
 START_S = 2.0
 GRACE_S = 6.0
--- a/packages/springbridge-standins/springbridge_standins/users_platform/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/soak.py
@@ -16,16 +16,16 @@
 
 import typer
 
-from springbridge_standins.users_platform.engine import EngineStandIn
-from springbridge_standins.users_platform.fleet import configuration, free_ports
-from springbridge_standins.users_platform.proxy import LoopbackProxy
-from springbridge_standins.users_platform.soak_callers import call_forever
-from springbridge_standins.users_platform.soak_checks import check_record
-from springbridge_standins.users_platform.soak_engine import SoakScript
-from springbridge_standins.users_platform.soak_harms import START_S, harm_forever
-from springbridge_standins.users_platform.soak_nodes import NodeProcess, Ports
-from springbridge_standins.users_platform.soak_state import Soak, list_engine
-from springbridge_standins.users_platform.store import StoreStandIn, running_store
+from springbridge_standins.gateway.engine import EngineStandIn
+from springbridge_standins.gateway.fleet import configuration, free_ports
+from springbridge_standins.gateway.soak.callers import call_forever
+from springbridge_standins.gateway.soak.checks import check_record
+from springbridge_standins.gateway.soak.engine import SoakScript
+from springbridge_standins.gateway.soak.harms import START_S, harm_forever
+from springbridge_standins.gateway.soak.nodes import NodeProcess, Ports
+from springbridge_standins.gateway.soak.state import Soak, list_engine
+from springbridge_standins.gateway.store import StoreStandIn, running_store
+from springbridge_standins.proxy import LoopbackProxy
 
 LONGEST = 6
 FIRST_NET = 2
@@ -128,7 +128,3 @@
         for name, count in sorted(soak.counts.items()):
             typer.echo(f"  {count:6} {name}")
     raise SystemExit(failed)
-
-
-if __name__ == "__main__":
-    typer.run(main)
--- a/packages/springbridge-standins/springbridge_standins/users_platform/soak_test.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/soak_test.py
@@ -5,7 +5,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge_standins.users_platform.soak import run_soak
+from springbridge_standins.gateway.soak.soak import run_soak
 
 
 def test_a_short_soak_breaks_no_promise(tmp_path):
--- a/packages/springbridge-standins/springbridge_standins/users_platform/soak_state.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/state.py
@@ -4,11 +4,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from springbridge_standins.users_platform.engine import EngineStandIn
-from springbridge_standins.users_platform.proxy import LoopbackProxy
-from springbridge_standins.users_platform.soak_engine import Record
-from springbridge_standins.users_platform.soak_nodes import NodeProcess
-from springbridge_standins.users_platform.store import StoreStandIn
+from springbridge_standins.gateway.engine import EngineStandIn
+from springbridge_standins.gateway.soak.engine import Record
+from springbridge_standins.gateway.soak.nodes import NodeProcess
+from springbridge_standins.gateway.store import StoreStandIn
+from springbridge_standins.proxy import LoopbackProxy
 
 
 @dataclass(frozen=True)
--- a/packages/springbridge-standins/springbridge_standins/users_platform/store.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/store.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from springbridge_standins.users_platform.wire import Connection, RawRequest, answer, read_request
+from springbridge_standins.http_wire import Connection, RawRequest, answer, read_request
 
 SILENT_S = 3600.0
 SLOW_S = 0.4
--- /dev/null
+++ b/packages/springbridge-standins/springbridge_standins/mutants/__main__.py
@@ -0,0 +1,7 @@
+"""Runs mutants from the command line."""
+
+import typer
+
+from springbridge_standins.mutants.mutants import main
+
+typer.run(main)
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -1,6 +1,6 @@
 """Mechanisms of the users' platform that a proof has to miss when they are taken out."""
 
-from springbridge_standins.mutant import LIBRARY, NODE, PLATFORM, Mutant
+from springbridge_standins.mutants.mutant import LIBRARY, NODE, PLATFORM, Mutant
 
 REQUESTS = f"{PLATFORM}/requests_test.py"
 BOARD = f"{LIBRARY}/routing/endpoint_registry_test.py"
--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
@@ -14,10 +14,10 @@
 
 import typer
 
-from springbridge_standins.mutant import LIBRARY, NODE, Mutant
-from springbridge_standins.users_platform.mutants import USERS_PLATFORM
+from springbridge_standins.mutants.gateway_mutants import USERS_PLATFORM
+from springbridge_standins.mutants.mutant import LIBRARY, NODE, Mutant
 
-ROOT = Path(__file__).parents[3]
+ROOT = Path(__file__).parents[4]
 TIMEOUT_S = 300.0
 
 
@@ -213,6 +213,8 @@
     ),
 )
 
+ALL = (*MUTANTS, *USERS_PLATFORM)
+
 
 def fails(mutant: Mutant, folder: Path) -> bool:
     """Return whether the mutant's tests fail in a copy of the packages."""
@@ -245,7 +247,7 @@
 ) -> None:
     """Run the tests of all mutants; exit 1 if one of them passes."""
     survivors = 0
-    for mutant in (*MUTANTS, *USERS_PLATFORM):
+    for mutant in ALL:
         if only not in mutant.name:
             continue
         with tempfile.TemporaryDirectory() as folder:
@@ -254,7 +256,3 @@
         print(f"{'fails' if failed else 'PASSES'} without: {mutant.name}", flush=True)
     print(f"{survivors} proofs do not depend on their mechanism")
     sys.exit(1 if survivors else 0)
-
-
-if __name__ == "__main__":
-    typer.run(main)
