--- /dev/null
+++ b/packages/springbridge-standins/springbridge_standins/capacity/capacity.py
@@ -0,0 +1,37 @@
+"""Measures the slopes of the library that docs/CAPACITY.md is worked out from: ``make capacity``.
+
+Each measurement varies one quantity over at least four sizes, repeats each size, fits a line by
+least squares and prints slope, start and the largest deviation of a repeat from its size's median.
+What whole nodes cost (processor, memory, bytes, calls) has to be measured on a running fleet.
+"""
+
+import json
+from dataclasses import asdict
+from pathlib import Path
+
+from springbridge.membership import DIGEST_LIMIT
+
+from springbridge_standins.capacity.fit import Slope
+from springbridge_standins.capacity.library import library_slopes
+
+RESULTS = Path(__file__).parents[4] / "bench" / "capacity.json"
+
+
+def show(slope: Slope) -> None:
+    """Print one slope."""
+    medians = ", ".join(
+        f"{size}: {median:.4g}" for size, median in zip(slope.sizes, slope.medians, strict=True)
+    )
+    print(
+        f"{slope.name} by {slope.quantity} [{slope.unit}]: start {slope.start:.4g}, "
+        f"slope {slope.slope:.4g}, spread {slope.spread:.0%} ({medians})"
+    )
+
+
+def main() -> None:
+    """Measure all slopes, print them and write bench/capacity.json."""
+    slopes = library_slopes()
+    for slope in slopes:
+        show(slope)
+    print(f"a digest holds at most {DIGEST_LIMIT} members")
+    RESULTS.write_text(json.dumps([asdict(slope) for slope in slopes], indent=1) + "\n")
