--- a/packages/springbridge-node/springbridge_node/docs_test.py
+++ b/packages/springbridge-node/springbridge_node/docs_test.py
@@ -46,9 +46,9 @@
 MODULE_FILE = re.compile(r"(?!\*)[\w./-]*\w\.(?:py|proto|toml|sh|json|csv|txt)\Z")
 DOTTED = re.compile(r"springbridge(?:_node|_ctl|_standins|_platform)?(?:\.\w+)+\Z")
 CONSTANT = re.compile(r"[A-Z][A-Z0-9]*(?:_[A-Z0-9]+)+\Z")
-NAMES_IN_A_MODULE = re.compile(
-    r"((?:`[A-Za-z_]+`(?:, | and )?)+) in \[([^\]]+\.py)\]|\[([^\]]+\.py)\], ((?:`[A-Za-z_]+`(?:, | and )?)+)"
-)
+NAMES = r"((?:`[A-Za-z_]+`(?:, | and )?)+)"
+MODULE = r"\[([^\]]+\.py)\]"
+NAMES_IN_A_MODULE = re.compile(f"{NAMES} in {MODULE}|{MODULE}, {NAMES}")
 LOG_TYPE = re.compile(
     r"(?:springbridge\.)?"
     r"((?:node|request|engine|engines|member|dependency|configuration|settings|scheduler|table|order"
