--- a/packages/springbridge-node/springbridge_node/docs_test.py
+++ b/packages/springbridge-node/springbridge_node/docs_test.py
@@ -4,6 +4,7 @@
 """
 
 import ast
+import builtins
 import re
 from collections.abc import Iterator
 from functools import cache
@@ -55,10 +56,11 @@
     r"|invariant)\.[a-z_]+|fault|library)\Z"
 )
 METRIC = re.compile(r"springbridge_[a-z_]+(?=\{|\Z)")
+CLASS_NAME = re.compile(r"(?:(?:[A-Z][a-z]+){2,}(?:\.\w+)?|[A-Z][a-z]+\.\w+)\Z")
 VARIABLE = re.compile(r"SPRINGBRIDGE(?:CTL)?_[A-Z_]+\Z")
 FLAG = re.compile(r"--[a-z][a-z-]+")
 # Options of the users' bench, which is not part of the repository.
-BENCH_FLAGS = frozenset({"--most", "--seed", "--jobs"})
+BENCH_FLAGS = frozenset({"--days", "--jobs", "--log", "--most", "--seed"})
 TEST_NAME = re.compile(r"(?:(\w+_test)\.py::)?(test_\w+)\Z")
 
 
@@ -88,17 +90,27 @@
 
 @cache
 def python_files() -> tuple[Path, ...]:
-    """Return all Python files, this one left out, as it names what it looks for."""
-    here = Path(__file__).resolve()
-    return tuple(path for path in source_files() if path.suffix == ".py" and path != here)
+    """Return all Python files but tests."""
+    return tuple(path for path in source_files() if path.suffix == ".py" and not is_test(path))
+
+
+def is_test(path: Path) -> bool:
+    """Return whether a file holds tests."""
+    return path.name.endswith("_test.py")
 
 
 @cache
 def python_text() -> str:
-    """Return the text of all Python files."""
+    """Return the text of all Python files but tests."""
     return "\n".join(path.read_text() for path in python_files())
 
 
+@cache
+def text_of_tests() -> str:
+    """Return the text of all tests."""
+    return "\n".join(path.read_text() for path in source_files() if is_test(path))
+
+
 @cache
 def assigned_names() -> frozenset[str]:
     """Return the names that modules and classes assign: constants and members of enumerations."""
@@ -150,6 +162,16 @@
     return False
 
 
+def is_class_or_member(name: str) -> bool:
+    """Return whether a class exists in the sources or in Python, and has the member named."""
+    kind, _, member = name.partition(".")
+    if hasattr(builtins, kind):
+        return True
+    pattern = re.compile(rf"^class {kind}\b.*?(?=^\S)", re.MULTILINE | re.DOTALL)
+    bodies = [found[0] for found in pattern.finditer(python_text() + "\nend")]
+    return any(not member or re.search(rf"\b{member}\b", body) for body in bodies)
+
+
 @pytest.mark.parametrize("page", PAGES)
 def test_links_lead_to_files(page):
     text = prose_of(page)
@@ -188,6 +210,12 @@
     assert not missing(page, named, lambda name: name in assigned_names())
 
 
+@pytest.mark.parametrize("page", NOW)
+def test_named_classes_and_their_members_exist(page):
+    named = {span for span in code_spans(page) if CLASS_NAME.match(span)}
+    assert not missing(page, named, is_class_or_member)
+
+
 @pytest.mark.parametrize("page", NOW)
 def test_names_stand_in_the_modules_that_pages_say(page):
     text = prose_of(page)
@@ -253,7 +281,7 @@
 
 @pytest.mark.parametrize("page", NOW)
 def test_named_tests_exist(page):
-    sources = python_text()
+    sources = text_of_tests()
     named = {found[2] for span in code_spans(page) if (found := TEST_NAME.match(span))}
     assert not missing(page, named, lambda name: f"def {name}(" in sources)
 
