--- a/packages/springbridge/springbridge/routing/admission.py
+++ b/packages/springbridge/springbridge/routing/admission.py
@@ -1,4 +1,14 @@
-"""Admission: which route, customer and service a request belongs to, or why it is refused."""
+"""Admission: which route, customer and service a request belongs to, or why it is refused.
+
+Decided: whether the operators' configuration allows a request, and under which priority and
+deadline.
+Inputs: the newest configuration; the request's host, path and key, when it arrived and how many
+seconds the caller waits. Its size is not checked here: the reader of the connection holds callers
+to CallerLimits.
+Outcome: an Admitted, or a Problem for no configuration, an unknown host or path, or an unknown key.
+Why: a request is refused before anything is spent on it; the customer's priority outranks the
+route's, and the shorter patience of caller and route sets the deadline.
+"""
 
 from dataclasses import dataclass
 
@@ -6,6 +16,7 @@
 from returns.result import Failure, Result, Success
 
 from springbridge.codes import Code
+from springbridge.hashing import HASH_SPAN
 from springbridge.problems import Problem
 from springbridge.routing.records import (
     Admitted,
@@ -17,15 +28,17 @@
 )
 
 RETRY_WITHOUT_CONFIGURATION_S = 0.5
-HASH_SPAN = 2.0**64
+# Connections to an endpoint whose service the configuration does not describe. Not measured; chosen
+# as the least.
+CONNECTIONS_OF_UNKNOWN_SERVICE = 1
 
 
 @dataclass(frozen=True)
 class RouteIndex:
-    """A configuration arranged for look-ups.
+    """A configuration arranged for lookups.
 
     Attributes:
-      routes_by_host: For each host its routes, the longest path prefix first.
+      routes_by_host: For each host, in lower case, its routes, the longest path prefix first.
       customers_by_key: The customer of each key.
     """
 
@@ -48,7 +61,11 @@
 
 
 def find_route(index: RouteIndex, host: str, path: str) -> Route | None:
-    """Return the route with the longest prefix of the path, or None."""
+    """Return the route of a host with the longest prefix of the path, or None.
+
+    Args:
+      host: As the caller sent it; case and port do not matter.
+    """
     name = host.partition(":")[0].lower()
     for route in index.routes_by_host.get(name, ()):
         if path.startswith(route.path_prefix):
@@ -66,6 +83,7 @@
         point -= service.weight
         if point < 0:
             return service.name
+    # Rounding left the point at the end of the last share.
     return next(service.name for service in reversed(route.services) if service.weight > 0)
 
 
@@ -77,7 +95,7 @@
     """Return the request as the configuration allows it, or why it is refused.
 
     Args:
-      index: The newest configuration, or None while the node knows none.
+      index: The newest configuration, or None while the instance has none.
       configuration_due_s: When to come back in that case, in seconds from now.
     """
     if index is None:
@@ -87,28 +105,43 @@
     if route is None:
         return Failure(Problem(Code.UNKNOWN_PATH, "no route"))
     customer = index.customers_by_key.get(arrival.key) if arrival.key else None
-    if customer is None and route.needs_key and index.configuration.customers:
+    if customer is None and _needs_customer(index, route):
         return Failure(Problem(Code.UNKNOWN_KEY, "no customer has this key"))
-    name = pick_service(route, arrival.request_id)
-    service = index.configuration.services.get(name) or Service(name, "/", 1)
-    patience_s = route.timeout_s
-    if arrival.patience_s is not None:
-        patience_s = min(patience_s, arrival.patience_s)
     return Success(
         Admitted(
             arrival=arrival,
             route=route,
-            service=service,
+            service=_service(index, route, arrival.request_id),
             customer=customer.name if customer else "",
             priority=_priority(route, customer),
             version=index.configuration.version,
-            deadline_s=arrival.arrived_s + patience_s,
+            deadline_s=_deadline_s(route, arrival),
         )
     )
 
 
+def _needs_customer(index: RouteIndex, route: Route) -> bool:
+    """Return whether a caller has to show a key; without any customer nobody could."""
+    return route.needs_key and bool(index.configuration.customers)
+
+
+def _service(index: RouteIndex, route: Route, request_id: str) -> Service:
+    """Return the service for a request, with defaults where the configuration does not name it."""
+    name = pick_service(route, request_id)
+    service = index.configuration.services.get(name)
+    return service or Service(name, max_connections=CONNECTIONS_OF_UNKNOWN_SERVICE)
+
+
 def _priority(route: Route, customer: CustomerKeys | None) -> int:
     """Return the rank of a request: the customer's outranks the route's."""
     if customer is not None and customer.priority is not None:
         return customer.priority
     return route.priority
+
+
+def _deadline_s(route: Route, arrival: Arrival) -> float:
+    """Return the moment at which a request is given up, in seconds of the monotonic clock."""
+    patience_s = route.timeout_s
+    if arrival.patience_s is not None:
+        patience_s = min(patience_s, arrival.patience_s)
+    return arrival.arrived_s + patience_s
--- a/packages/springbridge/springbridge/routing/coordinators.py
+++ b/packages/springbridge/springbridge/routing/coordinators.py
@@ -1,10 +1,15 @@
-"""Which instances schedule prompts in a fleet too large for all to know of every request.
-
-In a small fleet each instance hears of all requests and chooses endpoints itself. In a large one a
-few instances of each failure domain hear of all requests for a service, and the others ask one of
-them. The role follows from hashing over the live members, for each service apart, so that nobody is
-set aside for it and many services have many coordinators. Nothing is lost with one: the next in the
-order is asked, and an instance that nobody answers chooses alone.
+"""Which instances choose endpoints for the others, in a fleet too large to notify everybody.
+
+Decided: the coordinators of a service, and the order in which an instance asks them.
+Inputs: the members that are alive, with their incarnation and failure domain; the service's name.
+Outcome: the coordinators, the first of each failure domain first. They get the notices of all
+requests for the service; the others ask one of them, and choose alone if none answers.
+Why: rendezvous hashing over the live members gives every instance the same answer without a
+message, so no instance is set aside, many services have many coordinators, and nothing is lost with
+one of them.
+Numbers: 71 and 78 instances, one run each of the same day, mean served value with coordinators
+0.631 and 0.770, against 0.675 and 0.666 where each instance chooses alone; with the weights of
+endpoint_cost.py 0.843 and 0.822.
 """
 
 from collections.abc import Iterable
@@ -12,12 +17,16 @@
 from springbridge.hashing import score
 from springbridge.membership import Member
 
+# Coordinators of a service in each failure domain. Two were measured, no other count; the second is
+# there to be asked while the first is silent.
 COORDINATORS_PER_FAILURE_DOMAIN = 2
+# Beginning of the hash key that selects the coordinators. All instances of a mixed fleet have to
+# select the same ones, so this text must stay as it is, byte for byte.
 ROLE_KEY = "scheduler of requests"
 
 
 def coordinators(members: Iterable[Member], service: str) -> list[Member]:
-    """Return the members that schedule a service, the first of each failure domain first.
+    """Return the coordinators of a service, the first of each failure domain first.
 
     Args:
       members: Those that run and are not leaving.
@@ -26,17 +35,20 @@
     for member in members:
         by_failure_domain.setdefault(member.failure_domain, []).append(member)
     key = f"{ROLE_KEY} for {service}"
-    chosen = []
-    for failure_domain in sorted(by_failure_domain):
-        ranked = sorted(
-            by_failure_domain[failure_domain],
-            key=lambda member: score(key, member.incarnation),
-            reverse=True,
-        )
-        chosen += enumerate(ranked[:COORDINATORS_PER_FAILURE_DOMAIN])
-    return [member for _, member in sorted(chosen, key=lambda pair: pair[0])]
+    ranked = [_ranked(key, by_failure_domain[name]) for name in sorted(by_failure_domain)]
+    return [
+        candidates[rank]
+        for rank in range(COORDINATORS_PER_FAILURE_DOMAIN)
+        for candidates in ranked
+        if rank < len(candidates)
+    ]
 
 
 def in_order_for(failure_domain: str, found: Iterable[Member]) -> list[Member]:
-    """Return the coordinators as an instance asks them: those of its own failure domain first."""
+    """Return coordinators as an instance asks them: those of its own failure domain first."""
     return sorted(found, key=lambda member: member.failure_domain != failure_domain)
+
+
+def _ranked(key: str, members: list[Member]) -> list[Member]:
+    """Return the members of a failure domain, the highest score for a key first."""
+    return sorted(members, key=lambda member: score(key, member.incarnation), reverse=True)
--- a/packages/springbridge/springbridge/routing/coordinators_test.py
+++ b/packages/springbridge/springbridge/routing/coordinators_test.py
@@ -1,4 +1,4 @@
-"""Tests of schedulers.py: who schedules, and whom an instance asks first."""
+"""Tests of coordinators.py: who coordinates, and whom an instance asks first."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
@@ -52,3 +52,8 @@
 def test_another_service_has_other_schedulers():
     members = fleet(90)
     assert_that(coordinators(members, "other") == coordinators(members, MODEL), Equals(False))
+
+
+def test_instances_of_all_releases_select_the_same_coordinators():
+    names = [member.instance for member in coordinators(fleet(30), MODEL)]
+    assert_that(names, Equals(["n24", "n22", "n17", "n21", "n25", "n8"]))
--- a/packages/springbridge/springbridge/routing/endpoint_choice_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice_test.py
@@ -121,3 +121,10 @@
 @pytest.mark.parametrize("choose", [least_in_flight, by_shared_prompt])
 def test_the_baselines_choose_an_engine(endpoints, choose):
     assert_that(choose(states_of(endpoints), make_demand(LONG)).state.entry.service, Equals(MODEL))
+
+
+def test_instances_of_all_releases_prefer_the_same_endpoint_for_a_shared_part(endpoints):
+    prompts = [((f"shared-{number}", 13_000), ("own", 3_000)) for number in range(8)]
+    choices = [by_shared_prompt(states_of(endpoints), make_demand(parts)) for parts in prompts]
+    names = [choice.state.entry.endpoint_id for choice in choices]
+    assert_that(names, Equals(["e1", "e1", "e2", "e0", "e1", "e2", "e2", "e3"]))
--- a/packages/springbridge/springbridge/routing/endpoint_state_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state_test.py
@@ -1,4 +1,4 @@
-"""Tests of engine_state.py: the load of an engine, and what it says of its reading speed."""
+"""Tests of endpoint_state.py: the load of an endpoint, and what it shows of its reading speed."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def state():
-    """Return an engine without a load."""
+    """Return an endpoint without a load."""
     return EndpointState(EndpointEntry("e0", "model", "10.0.0.1:80", "perth-a", 64, False))
 
 
--- a/packages/springbridge/springbridge/routing/event_stream.py
+++ b/packages/springbridge/springbridge/routing/event_stream.py
@@ -1,7 +1,8 @@
-"""Server-sent events: cutting a stream into whole events and reading their ids.
+"""Server-sent events: splits a stream into whole events and reads their ids.
 
-A stream may be cut off within an event. Only whole events are handed on, so that another endpoint
-can go on after the last of them.
+A stream can break within an event. Only whole events are passed on, so that another endpoint can
+continue after the last of them. Relies on endpoints that end each event with an empty line of line
+feeds alone.
 """
 
 from dataclasses import dataclass
@@ -19,7 +20,7 @@
 
 
 class EventSplitter:
-    """Cuts the bytes of a stream into whole events."""
+    """Splits the bytes of one stream into whole events."""
 
     def __init__(self) -> None:
         """Start with no bytes."""
@@ -27,17 +28,17 @@
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes that do not make a whole event yet."""
+        """Return the bytes that are not a whole event yet."""
         return self._rest
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take in bytes and return the events that they complete."""
+        """Add bytes and return the events that they complete."""
         *whole, self._rest = (self._rest + data).split(END_OF_EVENT)
         return [_event(raw + END_OF_EVENT) for raw in whole]
 
 
 def _event(raw: bytes) -> Event:
-    """Return an event with its id."""
+    """Return an event with its id; the last id field counts."""
     event_id = None
     for line in raw.split(b"\n"):
         if line.startswith(ID_FIELD):
--- a/packages/springbridge/springbridge/routing/event_stream_test.py
+++ b/packages/springbridge/springbridge/routing/event_stream_test.py
@@ -1,4 +1,4 @@
-"""Tests of event_stream.py: whole events, whatever the pieces in which they come."""
+"""Tests of event_stream.py: whole events, however the stream is cut into pieces."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/packages/springbridge/springbridge/routing/overload.py
+++ b/packages/springbridge/springbridge/routing/overload.py
@@ -1,20 +1,26 @@
-"""When a request is refused at once, because its endpoints have more than they can bring to an end.
-
-An endpoint that runs too many requests at a time brings none of them to its end: each token takes
-longer, and all miss their deadlines together. An endpoint with a long backlog of prompts answers
-nobody in time: what comes now is read when its caller no longer profits from it, and everything
-behind it waits for that. So a request is refused while every endpoint that it may use is too full
-or too far behind for its priority, the least urgent first. The most urgent are refused last, when
-the endpoints' own queues are long as well.
+"""When a request is refused at once because its endpoints have too much to do.
+
+Decided: whether a request with a prompt is refused before its first attempt.
+Inputs: for each endpoint that may get it the requests and slots, and the backlog in seconds; the
+priority of its route, 0 most urgent; the target of its route in seconds.
+Outcome: None, or an Overload with what decided, while every endpoint is too full or too far behind
+for that priority. The least urgent are refused first.
+Why: refuse early. An endpoint that runs too many requests finishes none: each token takes longer,
+and all miss their deadlines together. Past a certain backlog the answer misses its deadline and
+delays everyone behind it.
+Numbers: 12 runs with bursts or faults, mean served value 0.801 by slots alone and 0.823 with the
+wait; one run in which two endpoints were left, 0.337 and 0.706.
 """
 
+import itertools
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.records import Demand
 
-# Share of an endpoint's slots that may be taken when a request of a priority is still sent there.
+# By priority: the share of an endpoint's slots in use at which it is full. In a run that lost four
+# of five endpoints: served value 0.526 against 0.367 without, failed requests 0.041 against 0.242.
 FULLEST_BY_PRIORITY = (1.5, 0.75, 0.5)
 # Bursts last for seconds, and many callers come back only once.
 RETRY_AFTER_S = 2.0
@@ -24,11 +30,14 @@
 class WaitLimit:
     """The longest backlog behind which a request of a priority is still sent.
 
-    It follows the target of the request's route within bounds that do not overlap, so that a more
-    urgent request never waits less than a less urgent one, however their targets differ.
+    It follows the target of the request's route within bounds. The bounds of different priorities
+    do not overlap, so that a more urgent request never waits less than a less urgent one, whatever
+    their targets.
 
     Attributes:
-      targets: The limit in times of the target.
+      targets: The limit in multiples of the target.
+      least_s: Lower bound in seconds.
+      most_s: Upper bound in seconds.
     """
 
     targets: float
@@ -40,21 +49,29 @@
         return min(self.most_s, max(self.least_s, self.targets * target_s))
 
 
+# By priority. Multiples of the target, sum of served value over five runs with bursts or faults:
+# no limit 3.33; 4, 2, 1: 3.41; 2, 1, 0.4: 3.81; 1, 0.5, 0.15: 3.96; 0.5, 0.25, 0.08: 3.91. The
+# bounds in seconds were not measured; chosen so that they meet.
 WAIT_LIMITS = (
     WaitLimit(1.0, 1.2, 60.0),
     WaitLimit(0.5, 0.6, 1.2),
     WaitLimit(0.15, 0.25, 0.6),
 )
+assert all(
+    urgent.least_s >= less_urgent.most_s for urgent, less_urgent in itertools.pairwise(WAIT_LIMITS)
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """Why a request is refused: its endpoints have too much.
+    """Why a request is refused: its endpoints have too much to do.
+
+    It travels from coordinators to instances as a list of its fields, in this order.
 
     Attributes:
-      backlog_s: What the endpoint with the shortest backlog has still to read, in seconds.
-      longest_wait_s: The longest backlog behind which the request would be sent.
-      in_flight: Requests that the emptiest endpoint has.
+      backlog_s: Seconds that the endpoint with the shortest backlog still has to read.
+      longest_wait_s: Longest backlog in seconds behind which the request would be sent.
+      in_flight: Requests at the endpoint with the fewest.
     """
 
     backlog_s: float
@@ -68,11 +85,10 @@
 
 
 def overload(states: Sequence[EndpointState], demand: Demand) -> Overload | None:
-    """Return why a request is refused if all its endpoints are too full or too far behind, else
-    None.
+    """Return why a request is refused, or None if it is not.
 
     Args:
-      states: The endpoints that it may use; none is not an overload.
+      states: The endpoints that may get it; having none is not an overload.
     """
     if not states:
         return None
@@ -86,22 +102,22 @@
 
 
 def longest_wait_s(demand: Demand) -> float:
-    """Return the longest backlog behind which a request is still sent, in seconds."""
+    """Return the longest backlog in seconds behind which a request is still sent."""
     limit = WAIT_LIMITS[_rank(demand.priority, len(WAIT_LIMITS))]
     return limit.seconds(demand.target_s)
 
 
 def _is_full(state: EndpointState, demand: Demand) -> bool:
-    """Return whether an endpoint has too many requests for another of a priority."""
+    """Return whether an endpoint has too many requests to take one of this priority."""
     fullest = FULLEST_BY_PRIORITY[_rank(demand.priority, len(FULLEST_BY_PRIORITY))]
     return state.in_flight >= fullest * state.entry.slots
 
 
 def _is_behind(state: EndpointState, demand: Demand) -> bool:
-    """Return whether an endpoint would begin to read a prompt too late for it."""
+    """Return whether an endpoint would begin to read the prompt too late."""
     return state.backlog_s > longest_wait_s(demand)
 
 
 def _rank(priority: int, ranks: int) -> int:
-    """Return the rank of a priority where all beyond the last rank count as that."""
+    """Return the rank of a priority; all beyond the last rank count as the last."""
     return min(max(priority, 0), ranks - 1)
--- a/packages/springbridge/springbridge/routing/overload_test.py
+++ b/packages/springbridge/springbridge/routing/overload_test.py
@@ -1,4 +1,4 @@
-"""Tests of overload.py: the least urgent are refused first, and only when no engine is well."""
+"""Tests of overload.py: the least urgent are refused first, and only when no endpoint has room."""
 
 import itertools
 
@@ -16,14 +16,14 @@
 
 
 def fill(registry, count, names=ALL):
-    """Give engines so many requests each, which have read their prompts."""
+    """Give each endpoint so many requests whose prompts have been read."""
     for name in names:
         for number in range(count):
             registry.take_notice(LoadNotice(LoadPhase.STARTED, f"{name}-{number}", name))
 
 
 def leave_behind(registry, backlog_s, names=ALL):
-    """Give engines prompts to read for so long."""
+    """Give each endpoint prompts that take so long to read."""
     for name in names:
         speed = registry.find(name).speed.tokens_per_s
         tokens = round(backlog_s * speed)
--- a/packages/springbridge/springbridge/routing/reading_speed.py
+++ b/packages/springbridge/springbridge/routing/reading_speed.py
@@ -1,38 +1,48 @@
-"""How fast an endpoint reads prompts, learnt from what it read while it had more to read.
+"""How fast an endpoint reads prompts, learnt while it has a backlog.
 
-What the operators say of an endpoint does not name its speed, endpoints of one service differ, and
-what runs beside a prompt slows its reading. Only tokens that were read while there was a backlog
-count: an endpoint that waits for work says nothing of its speed.
+Owns a running estimate in tokens a second, by which a backlog in tokens becomes a wait in seconds
+(overload.py). The operators' configuration does not name the speed, endpoints of one service
+differ, and requests that run beside a prompt slow it down. Only tokens that were read while more
+were waiting count: an endpoint that waits for work shows nothing of its speed.
 """
 
+# Estimate before the first sample, in tokens a second. It fitted the logs of a run in which two
+# endpoints had a backlog for long.
 USUAL_TOKENS_PER_S = 40_000.0
-LEAST_TOKENS_PER_S = 4_000.0
-MOST_TOKENS_PER_S = 400_000.0
-# About half a second of reading, so that one prompt's fixed costs weigh little.
+# Lowest sample that counts, in tokens a second; it limits the harm of late or lost notices. Not
+# measured; chosen as a tenth of the usual speed.
+LEAST_TOKENS_PER_S = USUAL_TOKENS_PER_S / 10
+# Highest sample that counts, for the same reason. Not measured; chosen as ten times the usual
+# speed.
+MOST_TOKENS_PER_S = USUAL_TOKENS_PER_S * 10
+# Tokens of a sample, about half a second of reading. Not measured; chosen so that the fixed cost of
+# a single prompt weighs little.
 LEAST_SAMPLE_TOKENS = 20_000
+# Weight of a new sample against the estimate so far. Not measured; with a half, an endpoint that
+# turns slow shows within a few prompts.
 NEW_SHARE = 0.5
 
 
 class ReadingSpeed:
-    """A running estimate for one endpoint.
+    """A running estimate for one endpoint. Moments are seconds of the monotonic clock.
 
     Attributes:
       tokens_per_s: The estimate.
     """
 
     def __init__(self) -> None:
-        """Begin with what is usual."""
+        """Start with the usual speed."""
         self.tokens_per_s = USUAL_TOKENS_PER_S
         self._since_s: float | None = None
         self._tokens = 0
 
     def has_work(self, now_s: float) -> None:
-        """Note that there is something to read; a sample begins unless one is being taken."""
+        """Note that a prompt waits to be read; a sample begins unless one is being taken."""
         if self._since_s is None:
             self._begin(now_s)
 
     def was_read(self, tokens: int, now_s: float) -> None:
-        """Note that a prompt was read."""
+        """Note that a prompt of so many unread tokens has been read."""
         if self._since_s is None:
             return
         self._tokens += tokens
@@ -41,14 +51,15 @@
             self._begin(now_s)
 
     def is_idle(self) -> None:
-        """Note that there is nothing left to read."""
+        """Note that no prompt waits, which ends the sample."""
         self._since_s = None
 
     def _begin(self, now_s: float) -> None:
+        """Begin a sample."""
         self._since_s = now_s
         self._tokens = 0
 
     def _take(self, sample: float) -> None:
-        """Take a sample into the estimate."""
+        """Take a sample in tokens a second into the estimate."""
         bounded = min(MOST_TOKENS_PER_S, max(LEAST_TOKENS_PER_S, sample))
         self.tokens_per_s += NEW_SHARE * (bounded - self.tokens_per_s)
--- a/packages/springbridge/springbridge/routing/reading_speed_test.py
+++ b/packages/springbridge/springbridge/routing/reading_speed_test.py
@@ -1,4 +1,4 @@
-"""Tests of reading_speed.py: only what was read of a backlog says how fast an engine reads."""
+"""Tests of reading_speed.py: only what was read of a backlog counts."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/routing/records.py
+++ b/packages/springbridge/springbridge/routing/records.py
@@ -1,12 +1,30 @@
-"""Records of routing by host and path: the configuration, the endpoints and a request's facts.
+"""Records of routing: the operators' configuration, the endpoint list and the facts of a request.
 
-All are frozen; the functions over them live in the other modules of this package. Names that end
-in _s hold seconds, and moments are seconds of the node's monotonic clock.
+All are frozen, and the functions over them are in the other modules of this package. Names that end
+in _s hold seconds; moments are seconds of the instance's monotonic clock. The defaults stand for
+what the operators leave out; none of them was measured.
 """
 
 from dataclasses import dataclass, field
 
+# Rank of a route without a priority. Not measured; chosen as a middle rank. For overload it is
+# among the least urgent (overload.py).
 NO_PRIORITY = 5
+# Longest time in seconds for which a request is held. Not measured.
+DEFAULT_TIMEOUT_S = 60.0
+# Target in seconds for the first event or the answer. Not measured; overload.py derives from it how
+# long a backlog may be.
+DEFAULT_TARGET_S = 1.0
+# Connections that an endpoint takes from all instances. Not measured; the pool shares them out.
+DEFAULT_MAX_CONNECTIONS = 100
+# Size of a request's head in bytes. Not measured; it bounds memory for each connection.
+DEFAULT_HEADER_BYTES = 16384
+# Size of a request's body in bytes, 4 MiB. Not measured; it bounds memory for each request.
+DEFAULT_BODY_BYTES = 4 << 20
+# Seconds for the head of a request to arrive. Not measured.
+DEFAULT_HEADER_TIMEOUT_S = 3.0
+# Seconds for which a connection may stay idle. Not measured; it bounds how many are open.
+DEFAULT_IDLE_TIMEOUT_S = 15.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,15 +40,16 @@
     """What the operators want for the requests of one host and path prefix.
 
     Attributes:
-      path_prefix: Begins and ends with a slash; the longest that fits a path wins.
-      streaming: The answer is a series of events.
-      repeatable: A request may run more than once.
-      resumable: A broken stream may go on at another endpoint.
+      path_prefix: Begins and ends with a slash; the longest that matches a path wins.
+      streaming: Whether the answer is a series of events.
+      repeatable: Whether a request may run more than once.
+      resumable: Whether a broken stream may continue at another endpoint.
       timeout_s: Longest time for which a request is held.
-      target_s: Time to the first event, or to the answer, that the operators aim at.
-      pause_s: Longest pause between events that the operators aim at; 0 where unknown.
-      priority: Rank of the route, 0 first.
-      max_engines: Largest number of endpoints to which one request may be sent.
+      target_s: Time to the first event, or to the answer, that the operators aim for.
+      pause_s: Longest pause between events that the operators aim for, 0 if unknown; no decision
+        uses it.
+      priority: Rank of the route, 0 most urgent.
+      max_endpoints: Largest number of endpoints to which one request may be sent.
       needs_key: Whether a caller has to show a customer's key.
     """
 
@@ -41,8 +60,8 @@
     streaming: bool
     repeatable: bool
     resumable: bool
-    timeout_s: float = 60.0
-    target_s: float = 1.0
+    timeout_s: float = DEFAULT_TIMEOUT_S
+    target_s: float = DEFAULT_TARGET_S
     pause_s: float = 0.0
     priority: int = NO_PRIORITY
     max_endpoints: int = 1
@@ -54,21 +73,23 @@
     """A kind of endpoint.
 
     Attributes:
-      max_connections: Connections that one endpoint takes from all nodes together.
-      token_capacity: Tokens of running requests and cached prompts that fit; 0 for plain services.
-      fetches: Whether an endpoint can take what another keeps of a prompt.
+      health_path: Path of an endpoint's health check; no decision uses it.
+      max_connections: Connections that one endpoint takes from all instances together.
+      token_capacity: Tokens of running requests and cached prompts that fit into an endpoint; 0 for
+        plain services.
+      fetches: Whether an endpoint can fetch what another one keeps of a prompt.
     """
 
     name: str
     health_path: str = "/healthz"
-    max_connections: int = 100
+    max_connections: int = DEFAULT_MAX_CONNECTIONS
     token_capacity: int = 0
     fetches: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerKeys:
-    """A customer, its keys, and its priority where it has one of its own."""
+    """A customer, its keys, and its priority if it has one of its own, 0 most urgent."""
 
     name: str
     keys: tuple[str, ...]
@@ -77,17 +98,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may rest."""
+    """How much a caller may send, and for how long its connection may stay idle.
 
-    header_bytes: int = 16384
-    body_bytes: int = 4 << 20
-    header_timeout_s: float = 3.0
-    idle_timeout_s: float = 15.0
+    Attributes:
+      header_timeout_s: Longest time for a head to arrive; nothing reads it, idle_timeout_s is used.
+    """
+
+    header_bytes: int = DEFAULT_HEADER_BYTES
+    body_bytes: int = DEFAULT_BODY_BYTES
+    header_timeout_s: float = DEFAULT_HEADER_TIMEOUT_S
+    idle_timeout_s: float = DEFAULT_IDLE_TIMEOUT_S
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """The operators' configuration at one version; the version only ever grows."""
+    """The operators' configuration at one version; versions only grow."""
 
     version: int
     routes: tuple[Route, ...]
@@ -98,7 +123,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One incarnation of an endpoint, as the platform's list has it."""
+    """One incarnation of an endpoint, as it is on the platform's list.
+
+    Attributes:
+      address: IP number and port. Another endpoint may have it later.
+      slots: Requests that the endpoint runs at a time.
+      draining: Whether the endpoint is about to leave and takes no new requests.
+    """
 
     endpoint_id: str
     service: str
@@ -110,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """The platform's list of endpoints as of one revision; revisions only ever grow."""
+    """The platform's list of endpoints at one revision; revisions only grow."""
 
     revision: int
     entries: tuple[EndpointEntry, ...]
@@ -118,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that requests may share, and its length in tokens."""
+    """A part of a prompt that other requests may share, and its length in tokens."""
 
     part_id: str
     tokens: int
@@ -126,16 +157,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """What routing knows of a request: never its content.
+    """What routing knows of a request. It never sees the content.
 
     Attributes:
       path: Path without the query.
       key: What the caller showed, or None.
       arrived_s: When the request had begun to arrive.
-      patience_s: How long the caller waits, counted from arrived_s; None where it did not say.
-      prompt_tokens: Length of the prompt; 0 where the caller did not say.
-      answer_tokens: Longest answer asked for; 0 where the caller did not say.
-      resume_after: The last event that the caller has, or None.
+      patience_s: How long the caller waits, counted from arrived_s; None if it did not say.
+      prompt_tokens: Length of the prompt; 0 if the caller did not say.
+      answer_tokens: Longest answer asked for, 0 if the caller did not say; no decision uses it.
+      resume_after: The last event that the caller has, or None; no decision uses it.
     """
 
     request_id: str
@@ -156,6 +187,7 @@
 
     Attributes:
       customer: Name of the customer, or "" on a route that needs no key.
+      priority: Rank of the request, 0 most urgent.
       version: Version of the configuration that decided.
       deadline_s: Moment at which the request is given up.
     """
@@ -173,11 +205,14 @@
 class Demand:
     """What the choice of an endpoint has to know of a request.
 
+    It travels to coordinators as a list of its fields, in this order.
+
     Attributes:
       failure_domain: Failure domain of the instance that will send it.
-      priority: Rank of its route, 0 first.
-      target_s: Time to the first event that the operators aim at.
-      fetches: Whether an endpoint of the service can take what another keeps of a prompt.
+      priority: Rank of its route, 0 most urgent; not the customer's, since a whole kind of request
+        must not starve behind a less urgent one.
+      target_s: Time to the first event that the operators aim for.
+      fetches: Whether an endpoint of the service can fetch what another one keeps of a prompt.
     """
 
     request_id: str
@@ -191,7 +226,11 @@
 
     @classmethod
     def from_admitted(cls, admitted: Admitted, failure_domain: str) -> "Demand":
-        """Return what an admitted request demands at an instance of a failure domain."""
+        """Return what the choice has to know of an admitted request.
+
+        Args:
+          failure_domain: Of this instance.
+        """
         arrival = admitted.arrival
         return cls(
             request_id=arrival.request_id,
--- a/packages/springbridge/springbridge/routing/selection.py
+++ b/packages/springbridge/springbridge/routing/selection.py
@@ -1,4 +1,12 @@
-"""The endpoint for one attempt of a request, or why there is none."""
+"""The endpoint for one attempt of a request, or why there is none.
+
+Decided: a choice, a refusal for overload, or neither if no endpoint may get the request.
+Inputs: the registry, the request's demand, the ids of the endpoints that had it, and who chooses.
+Outcome: a Selection. Overload is checked before the first attempt only: later the request may have
+run, and a refusal would promise the caller that it has not.
+Why: one order of steps for an instance that chooses itself and for a coordinator that chooses for
+others: overload.py, then eligibility.py, then endpoint_choice.py. The numbers stand there.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -16,7 +24,7 @@
 
     Attributes:
       choice: The endpoint, or None if no endpoint may get the request.
-      overload: Why the request is refused, if its endpoints have too much; else None.
+      overload: Why the request is refused if its endpoints have too much to do, else None.
     """
 
     choice: Choice | None
@@ -32,15 +40,13 @@
 ) -> Selection:
     """Return the endpoint for the next attempt.
 
-    A request is refused for overload only before its first attempt: later it may have run.
-
     Args:
-      tried: Ids of the endpoints that have had the request.
-      avoided: Ids of further endpoints that it cannot be sent to.
+      tried: Ids of the endpoints that had the request.
+      avoided: Ids of the endpoints that another instance, which asks, cannot use. They count in the
+        check for overload.
     """
     if demand.prompt_parts and not tried:
-        states = registry.candidates(demand.service, ())
-        refusal = overload(states, demand)
+        refusal = overload(registry.candidates(demand.service, ()), demand)
         if refusal is not None:
             return Selection(None, refusal)
     states = registry.candidates(demand.service, {*tried, *avoided})
@@ -48,7 +54,7 @@
 
 
 def start_notice(choice: Choice, demand: Demand, attempt_id: str) -> LoadNotice:
-    """Return the notice that an attempt begins at the chosen endpoint."""
+    """Return the notice that an attempt starts at the chosen endpoint."""
     return LoadNotice(
         LoadPhase.STARTED,
         attempt_id,
