--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -14,7 +14,7 @@
 from springbridge.problems import Problem
 from tornado.web import stream_request_body
 
-from springbridge_node import logs
+from springbridge_node.class_router import class_log
 from springbridge_node.class_router.callers.caller_handler import CallerHandler
 from springbridge_node.class_router.requests.answers import Answer
 from springbridge_node.class_router.requests.attempts import Work
@@ -187,5 +187,5 @@
         """Log and count how the request ended."""
         code = Code.OK if problem is None else problem.code
         seconds = self.node.clock() - self.arrived_s
-        logs.ended(admitted.request_class.name, admitted.customer.name, code, seconds)
+        class_log.ended(admitted.request_class.name, admitted.customer.name, code, seconds)
         self.node.metrics.timing(f"request.{admitted.request_class.name}", seconds * 1000)
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -22,7 +22,7 @@
 from tornado.httpserver import HTTPServer
 
 from springbridge_node import logs
-from springbridge_node.class_router import metrics
+from springbridge_node.class_router import class_log, metrics
 from springbridge_node.class_router.callers.http_app import make_application
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.config.editing import Editor, Orders
@@ -77,7 +77,7 @@
         self.listing = listing
         self.clock = time.monotonic
         self.incarnation = f"{settings.instance}-{secrets.token_hex(4)}"
-        self.invariants = Invariants(logs.violation, settings.abort_on_violation)
+        self.invariants = Invariants(class_log.violation, settings.abort_on_violation)
         self.metrics = metrics.connect(settings.statsd_address)
         self.membership = Membership(self._myself(), self.clock, random.Random())
         self.config = ConfigSync(store, self.membership, self.clock, self.send, self.invariants)
@@ -230,7 +230,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
-        logs.start(self.settings.instance, self.incarnation)
+        class_log.start(self.settings.instance, self.incarnation)
         peer_server = Server([self.peer_service])
         host, port = split(self.settings.peer_address)
         await peer_server.start(host, port)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -22,6 +22,7 @@
 from springbridge.routing.shared_retry_budget import SharedRetryBudget
 
 from springbridge_node import logs
+from springbridge_node.gateway import bounded_log
 from springbridge_node.gateway.callers.answer import CallerAnswer
 from springbridge_node.gateway.callers.directory import AddressBook
 from springbridge_node.gateway.callers.ingress import CallerListener, IncomingRequest
@@ -249,7 +250,7 @@
         self.telemetry.endpoints.set(len(self.registry.entries()))
         self.telemetry.config_version.set(self.configuration.version)
         self.telemetry.store_up.set(int(self.endpoints.dependency.up))
-        self.telemetry.dropped_lines.set(logs.dropped())
+        self.telemetry.dropped_lines.set(bounded_log.dropped())
         return Reply(200, self.telemetry.text(), TEXT)
 
     def _live_nodes(self) -> int:
