--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/class_router/class_log.py
@@ -0,0 +1,32 @@
+"""The class router's log output, and the events that only it logs."""
+
+import logging
+import sys
+
+from eliot import to_file
+from springbridge.codes import Code
+
+from springbridge_node import logs
+
+
+def start(instance: str, incarnation: str) -> None:
+    """Send all events to standard output as JSON lines, and log the start."""
+    to_file(sys.stdout)
+    logging.basicConfig(handlers=[logs.LibraryHandler()], level=logging.WARNING, force=True)
+    logs.event("node.start", instance=instance, incarnation=incarnation)
+
+
+def violation(name: str, detail: str) -> None:
+    """Log that an invariant does not hold."""
+    logs.event("invariant.violated", invariant=name, detail=detail)
+
+
+def ended(request_class: str, customer: str, code: Code, seconds: float) -> None:
+    """Log how a request ended and how many seconds it took."""
+    logs.event(
+        "request.ended",
+        request_class=request_class,
+        customer=customer,
+        code=int(code),
+        seconds=round(seconds, 4),
+    )
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
@@ -128,7 +128,7 @@
         for endpoint_id in list(self._idle):
             kept = []
             for conn in self._idle[endpoint_id]:
-                if endpoint_id in endpoint_ids and now_s - conn.rested_since_s <= CLOSE_IDLE_S:
+                if endpoint_id in endpoint_ids and now_s - conn.idle_since_s <= CLOSE_IDLE_S:
                     kept.append(conn)
                 else:
                     self.discard(endpoint_id, conn)
