--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants.py
@@ -179,15 +179,15 @@
     Mutant(
         "leaving is final",
         f"{LIBRARY}/membership.py",
-        "            known.member = replace(member, phase=phase)",
-        "            known.member = member",
+        "            observed.member = replace(member, phase=phase)",
+        "            observed.member = member",
         f"{LIBRARY}/membership_test.py::test_leaving_is_final_and_spreads",
     ),
     Mutant(
         "silent nodes left out",
         f"{LIBRARY}/membership.py",
-        "        return known.member.phase is Phase.LIVE and self._is_heard(known)",
-        "        return known.member.phase is Phase.LIVE",
+        "        return observed.member.phase is Phase.LIVE and not self._is_suspected(observed)",
+        "        return observed.member.phase is Phase.LIVE",
         f"{LIBRARY}/membership_test.py::test_silent_node_is_left_out_whatever_the_list_says",
     ),
     Mutant(
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -60,9 +60,9 @@
     ),
     Mutant(
         "what is told on grows older",
-        f"{LIBRARY}/membership.py",
-        "since_s = now_s - known.heard_s",
-        "since_s = 0.0",
+        f"{LIBRARY}/digest.py",
+        "each.member.aged(now_s - each.at_s)",
+        "each.member",
         f"{LIBRARY}/membership_test.py::test_what_is_told_on_of_a_member_is_as_old_as_it_is",
     ),
     Mutant(
--- a/packages/springbridge/springbridge/codes.py
+++ b/packages/springbridge/springbridge/codes.py
@@ -1,8 +1,8 @@
-"""Numbered result codes: the one list of ways in which a request or command can end.
+"""Numbered result codes: every way in which a request or command can end.
 
-Every answer that is not a plain success names one of these codes. The fate of a code is what a
-caller may rely on: only NOT_RUN promises that no engine ran the request. The table in
-docs/RESULT_CODES.md is generated from INFO and a test holds the two equal.
+Every answer that is not a plain success names one of these codes. Callers may rely on its fate:
+only NOT_RUN promises that no endpoint ran the request, so that it is safe to send it again. The
+table in docs/RESULT_CODES.md is generated from INFO, and a test compares the two.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Fate(Enum):
-    """What became of the request, as far as the code promises it."""
+    """What a code promises about the execution of the request."""
 
     DONE = "done"
     NOT_RUN = "not run"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Info:
-    """What a code means: its HTTP status, its fate and one sentence on what to do."""
+    """What a code means: its HTTP status, its fate, and one sentence of advice to the caller."""
 
     http_status: int
     fate: Fate
--- a/packages/springbridge/springbridge/hashing.py
+++ b/packages/springbridge/springbridge/hashing.py
@@ -1,7 +1,7 @@
-"""Weighted rendezvous hashing: which node takes on a role, and which engine suits a prompt.
+"""Weighted rendezvous hashing: which node takes on a role, and which endpoint gets a prompt.
 
-Every process that sees the same candidates comes to the same ranking, so no process has to be
-asked. A candidate that goes away moves only its own keys.
+Every process that sees the same candidates computes the same ranking, so no message is needed. When
+a candidate goes away, only its own keys move to others.
 """
 
 import math
@@ -9,6 +9,7 @@
 
 import xxhash
 
+# Number of values of the 64-bit hash; divides it into a fraction of one.
 HASH_SPAN = 2.0**64
 
 
@@ -16,14 +17,15 @@
     """Return the score of a candidate for a key; the highest score wins.
 
     Args:
-      weight: Relative share of keys that the candidate is to win; it must be above zero.
+      weight: Share of the keys that the candidate should win, relative to the other candidates'
+        weights; above zero.
     """
     digest = xxhash.xxh3_64_intdigest(f"{key}\x00{candidate}".encode())
     return -weight / math.log((digest + 0.5) / HASH_SPAN)
 
 
 def owner(key: str, candidates: Iterable[str]) -> str | None:
-    """Return the candidate that owns the key, or None where there is no candidate."""
+    """Return the candidate with the highest score for the key, or None without candidates."""
     return max(candidates, key=lambda candidate: score(key, candidate), default=None)
 
 
--- a/packages/springbridge/springbridge/membership.py
+++ b/packages/springbridge/springbridge/membership.py
@@ -1,95 +1,61 @@
-"""Which nodes are alive: the platform's lagging list as a seed, corrected by what nodes exchange.
-
-Each node sends a digest of what it knows to a few random peers a second, one of them in another
-failure domain (a bounded push gossip; SWIM, Das and others, DSN 2002, is the known reference). A
-member's heartbeat counts up while it runs, so a member whose heartbeat stands still is suspected
-after SUSPECT_S and left out of all choices, whatever the platform's list says. Leaving is final for
-an incarnation and travels ahead of everything else. A frozen node that wakes up sees that its own
-clock jumped and holds back until it has heard from the others again.
+"""Which nodes are alive, as one node sees it.
+
+The platform's list of nodes lags, so it only seeds the view; what counts is the heartbeat that each
+member counts up while it runs. A member whose heartbeat stands still is suspected after some
+seconds and left out of all choices, whatever the list says. Leaving is final for an incarnation. A
+frozen node that wakes up finds all others silent by its own clock, so it trusts nobody until it has
+got their digests again.
+
+digest.py has what nodes send each other, and to whom; member.py has the records.
 """
 
 import random
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
-from enum import IntEnum
 
-DIGEST_LIMIT = 24
-GOSSIP_INTERVAL_S = 0.5
-GOSSIP_PEERS = 2
+from springbridge.digest import (
+    DIGEST_LIMIT,
+    GOSSIP_INTERVAL_S,
+    GOSSIP_PEERS,
+    Observation,
+    digest_members,
+    digest_receivers,
+)
+from springbridge.member import Member, Phase, SnapshotStatus
+
+__all__ = [
+    "DIGEST_LIMIT",
+    "FORGET_S",
+    "GOSSIP_INTERVAL_S",
+    "SUSPECT_S",
+    "Member",
+    "Membership",
+    "Pace",
+    "Phase",
+    "SnapshotStatus",
+]
+
+# Seconds for which a heartbeat may stand still before its member is suspected. Not measured; five
+# gossip intervals, so that a few lost digests do not make a live member suspect.
 SUSPECT_S = 2.5
+# Seconds of silence after which a member is forgotten. Not measured; chosen far above SUSPECT_S,
+# because a member behind a cut has to be tried again, and counts for the majority meanwhile.
 FORGET_S = 60.0
 
 
-class Phase(IntEnum):
-    """Phase of a member; it only ever moves forward."""
-
-    LIVE = 0
-    LEAVING = 1
-    GONE = 2
-
-
-@dataclass(frozen=True)
-class SnapshotStatus:
-    """The list of endpoints as a node tells of it.
-
-    Attributes:
-      fingerprint: Hash of its content; two nodes with the same fingerprint have the same list.
-    """
-
-    fingerprint: int = 0
-    age_s: float = 1e9
-
-
-@dataclass(frozen=True)
-class Member:
-    """What is known of one incarnation of a node.
-
-    Attributes:
-      incarnation: Instance name and a random part, new at each start.
-      peer_address: IP number and port for peers.
-      caller_address: IP number and port for callers.
-      heartbeat: Counts up while the node runs.
-      config_version: Version of the operators' table that the node has in force.
-      confirmed_ago_s: How long ago the node, or somebody it heard from, read that version as the
-        newest from the platform's table.
-      table_out: Whether the node cannot reach the platform's table.
-      endpoint_snapshot: What list of endpoints the node has, and how old it was at the heartbeat.
-    """
-
-    incarnation: str
-    instance: str
-    peer_address: str
-    caller_address: str
-    failure_domain: str
-    heartbeat: int = 0
-    phase: Phase = Phase.LIVE
-    config_version: int = 0
-    confirmed_ago_s: float = 1e9
-    table_out: bool = False
-    endpoint_snapshot: SnapshotStatus = SnapshotStatus()
-
-
 @dataclass(frozen=True)
 class Pace:
     """How fast news travels and silence counts.
 
     Attributes:
       peers: Random peers that get each digest.
-      suspect_s: Time for which a heartbeat may stand still.
+      suspect_s: Seconds for which a heartbeat may stand still.
     """
 
     peers: int = GOSSIP_PEERS
     suspect_s: float = SUSPECT_S
 
 
-@dataclass
-class Known:
-    """A member and when its heartbeat last moved, on this node's clock."""
-
-    member: Member
-    heard_s: float
-
-
 class Membership:
     """This node's view of all nodes, itself included."""
 
@@ -105,7 +71,7 @@
         self._pace = pace or Pace()
         self._clock = clock
         self._rng = rng
-        self._known: dict[str, Known] = {}
+        self._observed: dict[str, Observation] = {}
         self._listed: set[str] = set()
         self._list_was_read = False
 
@@ -116,7 +82,11 @@
         table_out: bool,
         endpoint_snapshot: SnapshotStatus | None = None,
     ) -> None:
-        """Count up this node's heartbeat and state what it knows of configuration and engines."""
+        """Count up this node's heartbeat and state what it has.
+
+        Args:
+          endpoint_snapshot: Left out by nodes that do not share lists of endpoints.
+        """
         self.me = replace(
             self.me,
             heartbeat=self.me.heartbeat + 1,
@@ -142,17 +112,17 @@
                 self._merge_one(member, now_s)
 
     def _merge_one(self, member: Member, now_s: float) -> None:
-        known = self._known.get(member.incarnation)
-        if known is None:
-            self._known[member.incarnation] = Known(member, now_s)
+        observed = self._observed.get(member.incarnation)
+        if observed is None:
+            self._observed[member.incarnation] = Observation(member, now_s)
             return
-        phase = max(known.member.phase, member.phase)
-        if member.heartbeat > known.member.heartbeat:
-            known.member = replace(member, phase=phase)
-            known.heard_s = now_s
-        elif phase != known.member.phase:
-            known.member = replace(known.member, phase=phase)
-            known.heard_s = now_s
+        phase = max(observed.member.phase, member.phase)
+        if member.heartbeat > observed.member.heartbeat:
+            observed.member = replace(member, phase=phase)
+            observed.at_s = now_s
+        elif phase != observed.member.phase:
+            observed.member = replace(observed.member, phase=phase)
+            observed.at_s = now_s
 
     def set_listed(self, peer_addresses: Iterable[str]) -> None:
         """Take in the platform's list of peer addresses, without those listed as leaving."""
@@ -160,10 +130,10 @@
         self._listed = set(peer_addresses) - {self.me.peer_address}
 
     def lost_contact(self, incarnation: str) -> None:
-        """Note that the connection to a member broke: suspect it unless its heartbeat moves on."""
-        known = self._known.get(incarnation)
-        if known is not None:
-            known.heard_s = min(known.heard_s, self._clock() - self._pace.suspect_s / 2)
+        """Note that the connection to a member broke: half the time to suspicion is over."""
+        observed = self._observed.get(incarnation)
+        if observed is not None:
+            observed.at_s = min(observed.at_s, self._clock() - self._pace.suspect_s / 2)
 
     def is_live(self) -> bool:
         """Return whether this node itself is neither leaving nor gone."""
@@ -171,38 +141,38 @@
 
     def live(self) -> list[Member]:
         """Return the members that run and are not leaving, this node included if it is."""
-        found = [known.member for known in self._known.values() if self._is_live(known)]
+        found = [each.member for each in self._observed.values() if self._is_live(each)]
         if self.is_live():
             found.append(self.me)
         return found
 
     def reachable(self) -> list[Member]:
         """Return the other members that still run, leaving ones included."""
-        return [known.member for known in self._heard()]
+        return [each.member for each in self._running()]
 
     def find(self, incarnation: str) -> Member | None:
-        """Return a member that is not known to be gone, however long it was silent."""
+        """Return a member unless it is known to be gone, however long it was silent."""
         if incarnation == self.me.incarnation:
             return self.me
-        known = self._known.get(incarnation)
-        if known is None or known.member.phase is Phase.GONE:
+        observed = self._observed.get(incarnation)
+        if observed is None or observed.member.phase is Phase.GONE:
             return None
-        return known.member
+        return observed.member
 
     def snapshot_ages(self) -> list[tuple[Member, float]]:
-        """Return the other members that run, and how old their lists of endpoints are by now."""
+        """Return the other members that run, and the age of their endpoint lists in seconds."""
         now_s = self._clock()
         return [
-            (known.member, known.member.endpoint_snapshot.age_s + now_s - known.heard_s)
-            for known in self._heard()
+            (each.member, each.member.endpoint_snapshot.age_s + now_s - each.at_s)
+            for each in self._running()
         ]
 
     def confirmations(self) -> list[tuple[Member, float]]:
-        """Return the other members that run, and how long ago their versions were confirmed."""
+        """Return the other members that run, and the seconds since their version's confirmation."""
         now_s = self._clock()
         return [
-            (known.member, known.member.confirmed_ago_s + now_s - known.heard_s)
-            for known in self._heard()
+            (each.member, each.member.confirmed_ago_s + now_s - each.at_s)
+            for each in self._running()
         ]
 
     def incarnations(self) -> list[str]:
@@ -210,94 +180,68 @@
         return [member.incarnation for member in self.live()]
 
     def sees_majority(self) -> bool:
-        """Return whether this node hears from more than half of all that may be running.
+        """Return whether this node reaches more than half of all nodes that may be running.
 
-        All on the platform's list count, heard or not. A silent member that the list does not name
-        has ended; while no list was read, it counts until it was silent for FORGET_S.
+        What the platform lists counts, reachable or not. A suspected member that is not listed has
+        ended; while no list was read, it counts until it is forgotten.
         """
-        heard = {member.peer_address for member in self.reachable()}
-        possible = heard | self._listed
+        reachable = {member.peer_address for member in self.reachable()}
+        possible = reachable | self._listed
         if not self._list_was_read:
-            possible |= self._silent_addresses()
-        return 2 * (len(heard) + 1) > len(possible) + 1
+            possible |= self._suspected_addresses()
+        return 2 * (len(reachable) + 1) > len(possible) + 1
 
     def digest(self) -> list[Member]:
-        """Return what to send to a peer: this node, leaving members, and a bounded rest.
-
-        Only what was heard of a moment ago is told on. Who told more would teach the others anew
-        what they have forgotten, and members that ended would be known for ever.
-        """
-        known = [entry for entry in self._known.values() if self._is_heard(entry)]
-        self._rng.shuffle(known)
-        known.sort(key=lambda entry: entry.member.phase is Phase.LIVE)
-        now_s = self._clock()
-        return [self.me, *(_as_old_as_now(entry, now_s) for entry in known[: DIGEST_LIMIT - 1])]
+        """Return what to send to a peer: this node, leaving members, and a bounded rest."""
+        observed = (each for each in self._observed.values() if not self._is_suspected(each))
+        return digest_members(self.me, observed, self._rng, self._clock())
 
     def gossip_targets(self) -> list[str]:
-        """Return the peer addresses to send the next digest to.
-
-        One goes to another failure domain, the others to this one's members as far as there are
-        enough, since bytes between failure domains cost.
-        """
-        members = self.reachable()
-        near = [member for member in members if member.failure_domain == self.me.failure_domain]
-        far = [member for member in members if member.failure_domain != self.me.failure_domain]
-        self._rng.shuffle(near)
-        self._rng.shuffle(far)
-        targets = [*far[:1], *near, *far[1:]][: self._pace.peers]
-        addresses = {member.peer_address for member in targets}
-        return sorted(addresses | self._unheard_addresses())
-
-    def _unheard_addresses(self) -> set[str]:
-        """Return one listed or silent address, so that a lost or new peer is found again."""
-        heard = {member.peer_address for member in self.reachable()}
-        silent = {known.member.peer_address for known in self._known.values()}
-        candidates = sorted((self._listed | silent) - heard - {self.me.peer_address})
+        """Return the peer addresses to send the next digest to, one of them perhaps silent."""
+        receivers = digest_receivers(self.me, self.reachable(), self._pace.peers, self._rng)
+        addresses = {member.peer_address for member in receivers}
+        return sorted(addresses | self._address_to_retry())
+
+    def _address_to_retry(self) -> set[str]:
+        """Return one listed or suspected address, so that a lost or new peer is found again."""
+        reachable = {member.peer_address for member in self.reachable()}
+        known = {each.member.peer_address for each in self._observed.values()}
+        candidates = sorted((self._listed | known) - reachable - {self.me.peer_address})
         return {self._rng.choice(candidates)} if candidates else set()
 
     def forget_old(self) -> None:
-        """Drop members that were silent for long."""
+        """Drop members that were silent for FORGET_S."""
         limit_s = self._clock() - FORGET_S
-        self._known = {
-            name: known for name, known in self._known.items() if known.heard_s > limit_s
+        self._observed = {
+            name: observed for name, observed in self._observed.items() if observed.at_s > limit_s
         }
 
-    def _silent_addresses(self) -> set[str]:
-        """Return the addresses of members that were heard once and are not known to be gone."""
+    def _suspected_addresses(self) -> set[str]:
+        """Return the addresses of suspected members that are not known to be gone."""
         return {
-            known.member.peer_address
-            for known in self._known.values()
-            if known.member.phase is not Phase.GONE and not self._is_heard(known)
+            each.member.peer_address
+            for each in self._observed.values()
+            if each.member.phase is not Phase.GONE and self._is_suspected(each)
         }
 
-    def _heard(self) -> list[Known]:
+    def _running(self) -> list[Observation]:
         """Return the other members that run, leaving ones included."""
         return [
-            known
-            for known in self._known.values()
-            if known.member.phase is not Phase.GONE and self._is_heard(known)
+            each
+            for each in self._observed.values()
+            if each.member.phase is not Phase.GONE and not self._is_suspected(each)
         ]
 
-    def _is_heard(self, known: Known) -> bool:
-        return self._clock() - known.heard_s <= self._suspect_s()
+    def _is_live(self, observed: Observation) -> bool:
+        return observed.member.phase is Phase.LIVE and not self._is_suspected(observed)
+
+    def _is_suspected(self, observed: Observation) -> bool:
+        return self._clock() - observed.at_s > self._suspect_s()
 
     def _suspect_s(self) -> float:
-        """Return the time to suspicion, longer where a digest cannot hold all members."""
-        return self._pace.suspect_s * max(1.0, len(self._known) / DIGEST_LIMIT)
-
-    def _is_live(self, known: Known) -> bool:
-        return known.member.phase is Phase.LIVE and self._is_heard(known)
-
-
-def _as_old_as_now(known: Known, now_s: float) -> Member:
-    """Return a member whose ages count on from when it was heard, to be told on."""
-    since_s = now_s - known.heard_s
-    member = known.member
-    endpoint_snapshot = replace(
-        member.endpoint_snapshot, age_s=member.endpoint_snapshot.age_s + since_s
-    )
-    return replace(
-        member,
-        endpoint_snapshot=endpoint_snapshot,
-        confirmed_ago_s=member.confirmed_ago_s + since_s,
-    )
+        """Return the seconds to suspicion.
+
+        Where a digest cannot hold all members, each is named less often, so the time grows with
+        the fleet. It is long for the largest: 40 s with the default pace and 380 members.
+        """
+        return self._pace.suspect_s * max(1.0, len(self._observed) / DIGEST_LIMIT)
--- a/packages/springbridge/springbridge/membership_test.py
+++ b/packages/springbridge/springbridge/membership_test.py
@@ -5,7 +5,7 @@
 
 import pytest
 from testtools.assertions import assert_that
-from testtools.matchers import Contains, Equals, HasLength, LessThan, Not
+from testtools.matchers import Contains, Equals, GreaterThan, HasLength, LessThan, Not
 
 from springbridge.classes.table.freshness import STALE_S, Confirmation, may_serve
 from springbridge.membership import (
@@ -170,6 +170,11 @@
     assert_that(any("ended" in names_told(view) for view in views), Equals(False))
 
 
+def test_members_are_suspected_after_some_lost_digests_and_forgotten_much_later():
+    assert_that(SUSPECT_S, GreaterThan(2 * GOSSIP_INTERVAL_S))
+    assert_that(FORGET_S, GreaterThan(10 * SUSPECT_S))
+
+
 def test_digest_is_bounded(make_view, clock):
     view = make_view("me")
     view.merge(member(f"n{number}", heartbeat=1) for number in range(400))
--- a/packages/springbridge/springbridge/problems.py
+++ b/packages/springbridge/springbridge/problems.py
@@ -1,4 +1,4 @@
-"""The error record that travels between layers inside a returns.Result."""
+"""The error record that layers pass on inside a returns.Result."""
 
 from dataclasses import dataclass
 
@@ -10,10 +10,9 @@
     """Why a request or command did not succeed.
 
     Attributes:
-      code: The numbered result code.
-      detail: What in particular was wrong, without any content of a prompt or answer.
-      source: Where it was noticed: a header, a row, an engine or a node.
-      retry_after_s: Seconds after which asking again makes sense, or None.
+      detail: What exactly was wrong, without any content of a prompt or answer.
+      source: Where the problem was found: a header, a row, an endpoint or a node.
+      retry_after_s: Seconds after which another try may succeed, or None if unknown.
     """
 
     code: Code
@@ -23,20 +22,20 @@
 
     @property
     def info(self) -> Info:
-        """Return the HTTP status, fate and advice that belong to the code."""
+        """Return the HTTP status, fate and advice of the code."""
         return INFO[self.code]
 
     @property
     def not_run(self) -> bool:
-        """Return whether the code promises that no engine ran the request."""
+        """Return whether the code promises that no endpoint ran the request."""
         return self.info.fate is Fate.NOT_RUN
 
     def sentence(self) -> str:
-        """Return one line that says what was wrong and what to do."""
+        """Return one line on what was wrong and what the caller can do about it."""
         parts = [part for part in (self.source, self.detail) if part]
         return ": ".join(parts + [self.info.advice])
 
     def with_source(self, source: str) -> "Problem":
-        """Return the same problem with the source added in front."""
+        """Return the same problem with a wider source put before its own."""
         joined = f"{source}: {self.source}" if self.source else source
         return Problem(self.code, self.detail, joined, self.retry_after_s)
