--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants.py
@@ -87,9 +87,9 @@
     ),
     Mutant(
         "preemption",
-        f"{LIBRARY}/classes/slots/scheduler.py",
-        "        if not victims:\n            return None",
-        "        if True:\n            return None",
+        f"{LIBRARY}/classes/slots/preemption.py",
+        "    if not victims:\n        return None",
+        "    if True:\n        return None",
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_urgent_ask_preempts_the_lowest_tier",
     ),
     Mutant(
--- a/packages/springbridge/springbridge/classes/limits.py
+++ b/packages/springbridge/springbridge/classes/limits.py
@@ -20,6 +20,7 @@
 from dataclasses import dataclass, field
 from math import ceil
 
+from springbridge.classes import retry_after
 from springbridge.classes.entities import Share
 from springbridge.codes import Code
 from springbridge.problems import Problem
@@ -37,9 +38,6 @@
 # How long a new owner leaves the nodes to their equal parts. Derived: longer than any lease of the
 # former owner. The half lease beyond that was not measured.
 OWNER_GRACE_S = 1.5 * LEASE_S
-# Shortest time to come back after a refusal. Not measured; chosen so that a limit with a high rate
-# does not send its callers back at once.
-SHORTEST_RETRY_AFTER_S = 0.1
 
 assert OWNER_GRACE_S > LEASE_S, "a new owner must outwait the leases of the former one"
 
@@ -166,7 +164,7 @@
     valid_until_s: float = 0.0
     own_part: bool = False
     refilled_s: float = 0.0
-    retry_after_s: float = SHORTEST_RETRY_AFTER_S
+    retry_after_s: float = retry_after.SHORTEST_S
     demand: int = 0
 
     def try_start(self, now_s: float) -> bool:
@@ -191,7 +189,7 @@
         """Return the problem of a request that could not start: which limit, when to come back."""
         code = Code.RATE_LIMITED if self.starts < 1 else Code.CONCURRENCY_LIMITED
         source = f"{self.share.customer}/{self.share.request_class}"
-        retry_after_s = max(SHORTEST_RETRY_AFTER_S, self.retry_after_s)
+        retry_after_s = max(retry_after.SHORTEST_S, self.retry_after_s)
         return Problem(code, source=source, retry_after_s=retry_after_s)
 
     def ask(self, node: str) -> LeaseAsk:
--- a/packages/springbridge/springbridge/classes/limits_test.py
+++ b/packages/springbridge/springbridge/classes/limits_test.py
@@ -11,10 +11,10 @@
     BURST_S,
     LEASE_S,
     OWNER_GRACE_S,
-    SHORTEST_RETRY_AFTER_S,
     LimitOwner,
     NodeLimit,
 )
+from springbridge.classes.retry_after import SHORTEST_S
 from springbridge.codes import Code
 
 RATE = 40.0
@@ -117,7 +117,7 @@
     assert_that((rate.code, rate.retry_after_s), Equals((Code.RATE_LIMITED, 3.0)))
     full = NodeLimit(SHARE, starts=2.0, concurrency=1, in_use=1, retry_after_s=0.0).refusal()
     assert_that(full.code, Equals(Code.CONCURRENCY_LIMITED))
-    assert_that(full.retry_after_s, Equals(SHORTEST_RETRY_AFTER_S))
+    assert_that(full.retry_after_s, Equals(SHORTEST_S))
     assert_that(full.source, Equals("findwell/claims"))
 
 
--- a/packages/springbridge/springbridge/classes/slots/baselines.py
+++ b/packages/springbridge/springbridge/classes/slots/baselines.py
@@ -12,14 +12,13 @@
 from springbridge.classes.decisions import Outcome, Sample
 from springbridge.classes.entities import Endpoint
 from springbridge.classes.ports import Attempt, Slot
+from springbridge.classes.retry_after import NO_ENDPOINT_S
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
 # Slots that each node uses at an endpoint. Not measured; four nodes then fill an endpoint to 24
 # streams, as in the comparison of docs/BENCH.md.
 SLOTS_PER_ENDPOINT = 6
-# When a refused request may come back. Not measured.
-RETRY_AFTER_S = 1.0
 
 
 class _LocalSlots:
@@ -35,14 +34,14 @@
     async def acquire(self, attempt: Attempt) -> Result[Slot, Problem]:
         """Queue at the chosen endpoint until the attempt's wait is over."""
         if not attempt.endpoints:
-            return Failure(Problem(Code.NO_ENGINE, retry_after_s=RETRY_AFTER_S))
+            return Failure(Problem(Code.NO_ENGINE, retry_after_s=NO_ENDPOINT_S))
         endpoint = self._pick(attempt)
         free = self._free.setdefault(endpoint.name, asyncio.Semaphore(SLOTS_PER_ENDPOINT))
         try:
             async with asyncio.timeout(attempt.wait_s):
                 await free.acquire()
         except TimeoutError:
-            return Failure(Problem(Code.WAIT_EXPIRED, retry_after_s=RETRY_AFTER_S))
+            return Failure(Problem(Code.WAIT_EXPIRED, retry_after_s=NO_ENDPOINT_S))
         return Success(Slot(str(next(self._numbers)), endpoint))
 
     def sample(self, slot: Slot, sample: Sample) -> None:
--- a/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
@@ -1,14 +1,14 @@
-"""The slots of one endpoint: how many there are, which are in use, and what is learnt of them."""
+"""The slots of one endpoint: how many there are, which are in use, and how long the next one takes.
+
+It brings together the concurrency limits, the endpoint's health, its memory and the extra slot of
+the minimum share. It belongs to the scheduler of the endpoint (scheduler.py), which decides who
+gets a slot.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from springbridge.classes.decisions import (
-    Ask,
-    Outcome,
-    Release,
-    Sample,
-)
+from springbridge.classes.decisions import Ask, Outcome, Release, Sample
 from springbridge.classes.endpoint_health import EndpointHealth
 from springbridge.classes.entities import Tier
 from springbridge.classes.slots.concurrency import LATE_LIMIT, EndpointLimits
@@ -16,13 +16,25 @@
 from springbridge.classes.slots.fair_queue import FairQueue
 from springbridge.classes.slots.minimum_share import MinimumShare
 
+# Length of an answer that is expected of a class before its first one, in tokens. Not measured.
 FIRST_ANSWER_TOKENS = 64.0
+# Time for which a slot is expected to be held before the first release. Not measured; the first
+# sample replaces it.
 FIRST_SERVICE_S = 1.0
+# Slots, at least, of which work that may not be preempted leaves one to the top tier. With one slot
+# such work could never run. Derived: the smallest number that has one to leave.
+FEWEST_TO_LEAVE_ONE = 2
 
 
 @dataclass
 class Running:
-    """An ask that holds a slot."""
+    """An ask that holds a slot.
+
+    Attributes:
+      since_s: When it got the slot.
+      tokens: Tokens of the endpoint's memory that it is expected to take up.
+      stopping: Whether it was told to stop.
+    """
 
     ask: Ask
     since_s: float
@@ -31,17 +43,17 @@
 
     @property
     def yields(self) -> bool:
-        """Return whether the work may be preempted and has not been told to stop yet."""
+        """Return whether the work may be preempted and was not told to stop yet."""
         return self.ask.preemptible and not self.stopping
 
 
 class EndpointSlots:
-    """Slots of one endpoint.
+    """The slots of one endpoint.
 
     Attributes:
       running: The asks that hold a slot, by id.
-      limits: How many slots the endpoint bears beside each tier.
-      health: What its failures take away.
+      limits: Learnt limits of the tiers.
+      health: Slots that its failures take away.
       share: The extra slot of the minimum share.
       service_s: Mean time for which a slot is held.
     """
@@ -63,12 +75,21 @@
         self._clock = clock
         self._answer_tokens: dict[str, RunningQuantile] = {}
 
+    def hold(self, ask: Ask, now_s: float) -> None:
+        """Note that an ask holds a slot from now on."""
+        self.running[ask.ask_id] = Running(ask, now_s, self.tokens(ask))
+
+    def free(self, ask_id: str) -> None:
+        """Note that an ask no longer holds its slot."""
+        del self.running[ask_id]
+        self.share.release(ask_id)
+
     def used(self) -> int:
         """Return the slots in use, without the extra one of the minimum share."""
         return len(self.running) - (self.share.holder is not None)
 
     def for_tier(self, tier: Tier, now_s: float) -> int:
-        """Return how many slots there are for a tier beside the tiers that run now.
+        """Return how many slots there are for a tier, given the tiers that run now.
 
         An endpoint too slow for a tier has none for it, until an ask has waited so long that late
         is better than never.
@@ -80,15 +101,18 @@
         return self.health.slots(now_s, slots)
 
     def beside_fixed(self) -> int:
-        """Return the slots of which work that may not be preempted has to leave one."""
-        return max(2, self.limits.slots(self._clock(), set(Tier)))
+        """Return of how many slots work that may not be preempted has to leave one."""
+        return max(FEWEST_TO_LEAVE_ONE, self.limits.slots(self._clock(), set(Tier)))
 
     def is_free(self, tier: Tier, now_s: float) -> bool:
         """Return whether a tier has a slot now."""
         return self.used() < self.for_tier(tier, now_s)
 
     def fits(self, ask: Ask) -> bool:
-        """Return whether the ask fits the endpoint's memory and leaves the last slot."""
+        """Return whether an ask fits the memory and leaves the last slot to the top tier.
+
+        An ask that is larger than the memory runs alone.
+        """
         fixed = not ask.preemptible and ask.tier is not Tier.URGENT
         if fixed and self.fixed_below_top() + 1 >= self.beside_fixed():
             return False
@@ -111,7 +135,7 @@
         return self._answer_tokens.setdefault(request_class, RunningQuantile(FIRST_ANSWER_TOKENS))
 
     def learn_latency(self, running: Running, sample: Sample, now_s: float) -> None:
-        """Adjust the limits to the latencies of one slot."""
+        """Adjust the limits to the latencies of one slot; zero stands for nothing new."""
         in_flight = self.used()
         if sample.between_tokens_s:
             self.limits.learn_between(now_s, sample.between_tokens_s, in_flight)
@@ -130,15 +154,24 @@
             self.service_s.add(now_s - running.since_s)
 
     def predicted_wait_s(self, tier: Tier, now_s: float) -> float:
-        """Return how long a new ask of the tier would wait for a slot."""
+        """Return how long a new ask of the tier would wait for a slot, in seconds."""
         suspended_s = max(0.0, self.health.suspended_until_s - now_s)
         slots = max(1, self.for_tier(tier, now_s))
         free = slots - self.used() + self._stopping()
         behind = self._queue.load_ahead(tier) + 1 - free
         return suspended_s + max(0.0, behind) * self.service_s.value / slots
 
+    def queued_wait_s(self, ask: Ask, now_s: float) -> float:
+        """Return how long an ask that is in the queue already would wait, in seconds.
+
+        The prediction counts the ask as one of those ahead, so its own part is taken off.
+        """
+        slots = max(1, self.for_tier(ask.tier, now_s))
+        own_s = self.service_s.value / slots / ask.fan
+        return max(0.0, self.predicted_wait_s(ask.tier, now_s) - own_s)
+
     def is_one_short(self, tier: Tier, now_s: float) -> bool:
-        """Return whether one slot less in use would make room for the tier."""
+        """Return whether at most one slot has to be given back to make room for the tier."""
         return self.used() - self._stopping() <= self.for_tier(tier, now_s)
 
     def _stopping(self) -> int:
--- /dev/null
+++ b/packages/springbridge/springbridge/classes/slots/preemption_test.py
@@ -0,0 +1,58 @@
+"""Tests of preemption.py: which running request gives way."""
+
+import pytest
+from testtools.assertions import assert_that
+from testtools.matchers import Equals, Is
+
+from springbridge.classes.entities import Tier
+from springbridge.classes.slots.endpoint_slots import Running
+from springbridge.classes.slots.preemption import (
+    PREEMPT_TARGET_SHARE,
+    choose_victim,
+    is_due,
+    yielding_below,
+)
+
+
+@pytest.fixture
+def run(make_ask):
+    """Return a function that makes work which holds a slot."""
+
+    def make(name, tier, since_s=0.0, stopping=False, **fields):
+        return Running(make_ask(name, tier, **fields), since_s, 10.0, stopping)
+
+    return make
+
+
+def test_youngest_work_of_the_lowest_tier_gives_way(run):
+    running = [
+        run("old", Tier.BULK, 1.0),
+        run("young", Tier.BULK, 2.0),
+        run("younger but standard", Tier.STANDARD, 3.0),
+    ]
+    assert_that(choose_victim(running, Tier.URGENT, 1.0).ask.ask_id, Equals("young"))
+
+
+@pytest.mark.parametrize("tier", Tier)
+def test_nobody_gives_way_to_the_same_or_a_lower_tier(run, tier):
+    running = [run("one", upper, preemptible=True) for upper in Tier if upper <= tier]
+    assert_that(choose_victim(running, tier, 1.0), Is(None))
+
+
+def test_work_that_may_not_be_stopped_stays(run):
+    running = [run("fixed", Tier.BULK, preemptible=False)]
+    assert_that(choose_victim(running, Tier.URGENT, 1.0), Is(None))
+
+
+def test_one_slot_that_is_given_back_serves_one_ask(run):
+    running = [run("stopping", Tier.BULK, stopping=True), run("other", Tier.BULK)]
+    assert_that(choose_victim(running, Tier.URGENT, 1.0), Is(None))
+    assert_that(choose_victim(running, Tier.URGENT, 2.0).ask.ask_id, Equals("other"))
+    assert_that([one.ask.ask_id for one in yielding_below(running, Tier.URGENT)], Equals(["other"]))
+
+
+def test_ask_preempts_early_at_its_first_endpoint_only(make_ask):
+    wait_s = PREEMPT_TARGET_SHARE + 0.01
+    assert_that(is_due(make_ask("first", target_s=1.0), wait_s), Is(True))
+    assert_that(is_due(make_ask("first", target_s=1.0), PREEMPT_TARGET_SHARE), Is(False))
+    assert_that(is_due(make_ask("second", target_s=1.0, primary=False), wait_s), Is(False))
