--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -11,8 +11,7 @@
 from springbridge.classes.entities import Share, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.limits import LimitOwner, NodeLimit
-from springbridge.classes.slots.scheduler import EndpointScheduler
-from springbridge.hashing import owner
+from springbridge.classes.slots.scheduler import EndpointScheduler, scheduling_node
 from springbridge.membership import Member, Membership
 
 NAMES = ["alpha", "beta", "gamma"]
@@ -30,10 +29,10 @@
 
 
 def meet(clock: Clock) -> list[Membership]:
-    """Let three nodes exchange what they know."""
+    """Return the views of three nodes after they exchanged their members."""
     views = []
     for name in NAMES:
-        me = Member(name, name, f"{name}:1", f"{name}:2", "place-a")
+        me = Member(name, name, f"{name}:1", f"{name}:2", "domain-a")
         views.append(Membership(me, clock, random.Random(1)))
     for view in views:
         view.beat(config_version=1, confirmed_ago_s=0.0, table_out=False)
@@ -87,7 +86,7 @@
     """Run the example."""
     clock = Clock()
     views = meet(clock)
-    owners = {owner("engine/engine-1", view.incarnations()) for view in views}
+    owners = {scheduling_node("engine-1", view.incarnations()) for view in views}
     print("scheduler of engine-1, as each node works it out:", owners)
     print("granted at once:", schedule(clock, owners.pop()))
     clock.now_s += 1.0
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/engine_roles.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/engine_roles.py
@@ -2,8 +2,7 @@
 
 from collections.abc import Callable
 
-from springbridge.classes.slots.slot_client import ROLE_PREFIX
-from springbridge.hashing import owner
+from springbridge.classes.slots.scheduler import scheduling_node
 from springbridge.membership import Membership
 
 from springbridge_node.class_router.config.config_sync import ConfigSync
@@ -38,7 +37,7 @@
             return
         self._roles_from = (version, live)
         endpoints = self._config.table.endpoints
-        roles = {name: owner(ROLE_PREFIX + name, live) for name in endpoints}
+        roles = {name: scheduling_node(name, live) for name in endpoints}
         if roles != self._roles:
             self._roles = roles
             self._changed()
--- a/packages/springbridge/springbridge/classes/ports.py
+++ b/packages/springbridge/springbridge/classes/ports.py
@@ -165,6 +165,10 @@
     wait_s: float
     resumable: bool
 
+    def endpoint_named(self, name: str) -> Endpoint:
+        """Return the endpoint of that name."""
+        return next(endpoint for endpoint in self.endpoints if endpoint.name == name)
+
 
 class SlotSource(Protocol):
     """A policy that decides which endpoint serves an attempt, and when."""
--- a/packages/springbridge/springbridge/classes/slots/pending_asks.py
+++ b/packages/springbridge/springbridge/classes/slots/pending_asks.py
@@ -1,25 +1,32 @@
-"""What an attempt asks of schedulers, and which endpoints it prefers."""
+"""The attempts that wait for a slot, the slots held, and the ask of an attempt at one endpoint."""
 
 import asyncio
 from dataclasses import dataclass, field
 
 from returns.result import Result
 
-from springbridge.classes.decisions import (
-    Ask,
-)
-from springbridge.classes.entities import Endpoint, Request, Tier
+from springbridge.classes.decisions import Ask
+from springbridge.classes.entities import Endpoint, Tier
 from springbridge.classes.ports import Attempt, Slot
-from springbridge.hashing import ranking
 from springbridge.problems import Problem
 
-URGENT_PREFERENCE = "urgent"
-URGENT_PREFERRED = 2
+# Least that is left of a latency target, in seconds, since schedulers take shares of it. Not
+# measured; an ask that has used up its target then counts as late almost at once.
+SHORTEST_TARGET_S = 0.001
 
 
 @dataclass
 class Pending:
-    """An attempt that waits for its first grant."""
+    """An attempt that waits for its first grant.
+
+    Attributes:
+      granted: Gets the slot, or the problem that refuses the attempt.
+      started_s: When the attempt began.
+      asks: Asks without a decision, or queued, by id.
+      asked: Names of the endpoints that were asked.
+      refusals: Times to come back, in seconds, by endpoint that refused.
+      timers: To be cancelled at the end.
+    """
 
     attempt: Attempt
     granted: "asyncio.Future[Result[Slot, Problem]]"
@@ -32,7 +39,13 @@
 
 @dataclass
 class Held:
-    """A slot in use."""
+    """A slot in use.
+
+    Attributes:
+      ask: The ask that got it.
+      scheduler: Incarnation that schedules the endpoint, or None if nobody is known to.
+      preempted: Set when the scheduler takes the slot back.
+    """
 
     ask: Ask
     scheduler: str | None
@@ -45,7 +58,7 @@
 
     Attributes:
       node: Incarnation of the entry node.
-      fan: Engines that the attempt asks at the same time.
+      fan: Endpoints at which the attempt asks at the same time.
       primary: Whether it is the first of them.
     """
 
@@ -72,24 +85,10 @@
         weight=request.weight,
         fan=terms.fan,
         max_wait_s=max(0.0, pending.attempt.wait_s - (now_s - pending.started_s)),
-        target_s=max(0.001, target_s),
+        target_s=max(SHORTEST_TARGET_S, target_s),
         first_s=first_s,
         between_s=request_class.between_tokens_ms / 1000,
         prompt_tokens=request.prompt_tokens,
         primary=terms.primary,
         preemptible=pending.attempt.resumable and request_class.tier is not Tier.URGENT,
     )
-
-
-def preferred(request: Request, names: dict[str, float]) -> list[str]:
-    """Return the endpoints that a request prefers, the best first."""
-    if request.request_class.tier is Tier.URGENT:
-        return ranking(URGENT_PREFERENCE, names)[:URGENT_PREFERRED]
-    if request.affinity:
-        return ranking(request.affinity, names)[:1]
-    return []
-
-
-def endpoint_named(attempt: Attempt, name: str) -> Endpoint:
-    """Return the attempt's endpoint of that name."""
-    return next(endpoint for endpoint in attempt.endpoints if endpoint.name == name)
--- a/packages/springbridge/springbridge/classes/slots/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -17,7 +17,7 @@
      only delay those behind it.
 """
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import replace
 
 from springbridge.classes.decisions import (
@@ -37,17 +37,28 @@
 from springbridge.classes.slots.endpoint_slots import EndpointSlots, Running
 from springbridge.classes.slots.fair_queue import FairQueue
 from springbridge.classes.slots.preemption import choose_victim, is_due, yielding_below
+from springbridge.hashing import owner
 
 INVARIANT_TOP_TIER = "top tier refused last"
 INVARIANT_LAST_SLOT = "last slot stays preemptible"
 INVARIANT_TIER_ORDER = "preemption goes downward"
 
+# Prefix of the key that is hashed for the role; all nodes of a fleet have to use the same.
+ROLE_PREFIX = "engine/"
 # Age of a slot from which an inventory without it frees it. Derived: longer than the second from
 # one inventory to the next, so that one written before the grant arrived frees nothing. The second
 # beyond that was not measured.
 INVENTORY_LAG_S = 2.0
 
 
+def scheduling_node(endpoint: str, nodes: Iterable[str]) -> str | None:
+    """Return which of the live nodes schedules an endpoint; None if there are none.
+
+    Rendezvous hashing gives the same node everywhere, so nodes with the same view need no message.
+    """
+    return owner(ROLE_PREFIX + endpoint, nodes)
+
+
 class EndpointScheduler:
     """Queue and slots of one endpoint.
 
--- a/packages/springbridge/springbridge/classes/slots/slot_client.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -1,9 +1,10 @@
-"""The entry node's side of scheduling: ask for slots, take the first grant, give slots back.
+"""The entry node's side of the slots: ask schedulers, take the first grant, give slots back.
 
-An attempt asks one endpoint first: of two candidates the emptier, as far as their last grants told.
-If that one has no slot at once, all the others are asked too and the first grant is taken (late
-binding; Ousterhout and others, Sparrow, SOSP 2013), so that no request is stranded behind a slow
-endpoint. A refusal is final only when every endpoint refused; until then it is asked again there.
+It owns the asks of the attempts that wait and the slots that this node holds. It relies on a route
+from an endpoint to the node that schedules it; messages may get lost, and resend() and inventory()
+make up for that. Which endpoints are asked is decided in asking_order.py. An attempt is refused
+once every endpoint has refused it or its wait is over; until then, an endpoint that refused is
+asked again.
 """
 
 import asyncio
@@ -30,33 +31,33 @@
 from springbridge.classes.entities import Endpoint, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import Attempt, Slot
-from springbridge.classes.slots.pending_asks import (
-    AskTerms,
-    Held,
-    Pending,
-    ask_for,
-    endpoint_named,
-    preferred,
-)
+from springbridge.classes.retry_after import NO_ENDPOINT_S
+from springbridge.classes.slots.asking_order import UsedShares, choose_first, choose_others
+from springbridge.classes.slots.pending_asks import AskTerms, Held, Pending, ask_for
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
 INVARIANT_ASKED_EVERYWHERE = "top tier asked everywhere before refusal"
 
-FIRST_FAN = 3
-ALL_WHILE_FEW = 12
+# Time after which the first endpoint's silence counts as no slot, so that the others are asked. Not
+# measured.
 PATIENCE_S = 0.15
+# Time from an endpoint's refusal until it is asked again while others have not refused, so that the
+# final refusal holds for all at the same moment. Not measured.
 ASK_AGAIN_S = 1.0
+# Time for which schedulers may still answer after the attempt's wait has ended. Their refusal names
+# the better time to come back; they look for expired asks ten times a second. Not measured.
 EXPIRY_GRACE_S = 0.5
-PREFERENCE_BOUND = 0.5
-ROLE_PREFIX = "engine/"
+
+# Share of the slots in use at an endpoint that let an ask wait or refused it.
+FULL = 1.0
 
 ToScheduler = Ask | Hold | Inventory | Release | Sample
 Send = Callable[[str, ToScheduler], None]
 
 
 class SlotClient:
-    """The slot source that asks the schedulers of the endpoints."""
+    """The slot source that asks the endpoints' schedulers."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         Args:
           me: This node's incarnation.
           route: Returns the incarnation that schedules an endpoint, or None.
-          send: Sends a message to an incarnation; lost messages are sent again by resend.
+          send: Sends a message to an incarnation; it may get lost, and resend() repeats it.
         """
         self._me = me
         self._clock = clock
@@ -84,15 +85,15 @@
         self._pending: dict[str, Pending] = {}
         self._schedulers: dict[str, str | None] = {}
         self._held: dict[str, Held] = {}
-        self._used_share: dict[tuple[str, Tier], float] = {}
+        self._used = UsedShares()
 
     async def acquire(self, attempt: Attempt) -> Result[Slot, Problem]:
         """Wait for the first grant, or return the problem that refuses the attempt."""
         if not attempt.endpoints:
-            return Failure(Problem(Code.NO_ENGINE, retry_after_s=ASK_AGAIN_S))
+            return Failure(Problem(Code.NO_ENGINE, retry_after_s=NO_ENDPOINT_S))
         loop = asyncio.get_running_loop()
         pending = Pending(attempt, loop.create_future(), self._clock())
-        self._ask(pending, self._choose_first(attempt), fan=1, primary=True)
+        self._ask(pending, choose_first(attempt, self._used, self._rng), fan=1, primary=True)
         patience = loop.call_later(PATIENCE_S, self._ask_others, pending)
         expiry = loop.call_later(attempt.wait_s + EXPIRY_GRACE_S, self._expire, pending)
         pending.timers += [patience, expiry]
@@ -105,7 +106,7 @@
             self._close(pending)
 
     def sample(self, slot: Slot, sample: Sample) -> None:
-        """Report what is seen of a slot in use."""
+        """Report the progress of a slot in use to its scheduler."""
         held = self._held.get(slot.ask_id)
         if held is not None and held.scheduler is not None:
             self._send(held.scheduler, sample)
@@ -121,7 +122,7 @@
         await self._held[slot.ask_id].preempted.wait()
 
     def resend(self) -> None:
-        """Repeat asks and slots to schedulers that took over or were reconnected."""
+        """Repeat asks and slots to schedulers that took over or are connected anew."""
         for pending in {id(one): one for one in self._pending.values()}.values():
             for ask in list(pending.asks.values()):
                 self._leave(ask.ask_id, self._schedulers.get(ask.ask_id), ask.endpoint)
@@ -133,7 +134,7 @@
                 self._send(held.scheduler, Hold(held.ask))
 
     def inventory(self) -> dict[str, list[str]]:
-        """Return for each scheduler the ids of the asks and slots that this node has there."""
+        """Return the ids of this node's asks and slots at each scheduler."""
         found: dict[str, list[str]] = {}
         for ask_id, scheduler in self._schedulers.items():
             if scheduler is not None:
@@ -144,7 +145,7 @@
         return found
 
     def _leave(self, ask_id: str, scheduler: str | None, endpoint: str) -> None:
-        """Withdraw from a scheduler that another one has taken over from."""
+        """Withdraw an ask or slot from a scheduler whose role another node has taken over."""
         if scheduler is not None and scheduler != self._route(endpoint):
             self._send_release(ask_id, scheduler)
 
@@ -163,10 +164,10 @@
             self._return_unused(grant)
             return
         ask = pending.asks.pop(grant.ask_id)
-        self._used_share[ask.endpoint, ask.tier] = grant.used_share
+        self._used.note(ask, grant.used_share)
         self._schedulers.pop(grant.ask_id, None)
         self._held[grant.ask_id] = Held(ask, grant.scheduler)
-        endpoint = endpoint_named(pending.attempt, ask.endpoint)
+        endpoint = pending.attempt.endpoint_named(ask.endpoint)
         pending.granted.set_result(Success(Slot(grant.ask_id, endpoint)))
 
     @_take.register
@@ -174,7 +175,7 @@
         pending = self._pending.get(queued.ask_id)
         if pending is not None:
             ask = pending.asks[queued.ask_id]
-            self._used_share[ask.endpoint, ask.tier] = 1.0
+            self._used.note(ask, FULL)
             self._ask_others(pending)
 
     @_take.register
@@ -185,7 +186,7 @@
         ask = pending.asks.pop(refusal.ask_id)
         self._schedulers.pop(refusal.ask_id, None)
         pending.refusals[ask.endpoint] = refusal.retry_after_s
-        self._used_share[ask.endpoint, ask.tier] = 1.0
+        self._used.note(ask, FULL)
         self._ask_others(pending)
         if pending.asks:
             self._ask_again_later(pending, ask)
@@ -199,7 +200,7 @@
             held.preempted.set()
 
     def _return_unused(self, grant: Grant) -> None:
-        """Give back a slot that came too late; the answer to a repeated ask changes nothing."""
+        """Give back a slot that came too late, unless it answers a repeated ask for a held slot."""
         self._schedulers.pop(grant.ask_id, None)
         if grant.ask_id not in self._held:
             self._send_release(grant.ask_id, grant.scheduler)
@@ -207,33 +208,13 @@
     def _send_release(self, ask_id: str, scheduler: str) -> None:
         self._send(scheduler, Release(ask_id, Outcome.UNUSED, Sample(ask_id, 0.0, 0.0, 0)))
 
-    def _choose_first(self, attempt: Attempt) -> Endpoint:
-        """Return the endpoint to ask first: by preference while that one has room, else the
-        emptier.
-
-        Urgent requests of all nodes prefer the same endpoints, so that the others need not keep to
-        the urgent targets; other requests prefer the endpoint that may have their prefix cached.
-        """
-        tier = attempt.request.request_class.tier
-        names = {endpoint.name: 1.0 for endpoint in attempt.endpoints}
-        for name in preferred(attempt.request, names):
-            if self._used_share.get((name, tier), 0.0) < PREFERENCE_BOUND:
-                return endpoint_named(attempt, name)
-        two = self._rng.sample(attempt.endpoints, min(2, len(attempt.endpoints)))
-        return min(two, key=lambda endpoint: self._used_share.get((endpoint.name, tier), 0.0))
-
     def _ask_others(self, pending: Pending) -> None:
-        """Ask at the endpoints that were not asked yet: all while few, else a few at a time."""
+        """Ask at endpoints that were not asked yet."""
         if pending.granted.done():
             return
-        rest = [
-            endpoint for endpoint in pending.attempt.endpoints if endpoint.name not in pending.asked
-        ]
-        if len(pending.attempt.endpoints) > ALL_WHILE_FEW and pending.asks:
-            wanted = max(0, FIRST_FAN - len(pending.asks))
-            rest = self._rng.sample(rest, min(wanted, len(rest)))
-        fan = len(rest) + len(pending.asks)
-        for endpoint in rest:
+        others = choose_others(pending.attempt, pending.asked, len(pending.asks), self._rng)
+        fan = len(others) + len(pending.asks)
+        for endpoint in others:
             self._ask(pending, endpoint, fan, primary=False)
 
     def _ask(self, pending: Pending, endpoint: Endpoint, fan: int, primary: bool) -> None:
@@ -251,9 +232,9 @@
             self._send(scheduler, ask)
 
     def _ask_again_later(self, pending: Pending, ask: Ask) -> None:
-        """Ask again at an endpoint that refused while others have not."""
+        """Ask an endpoint that refused again while others have not refused."""
         loop = asyncio.get_running_loop()
-        endpoint = endpoint_named(pending.attempt, ask.endpoint)
+        endpoint = pending.attempt.endpoint_named(ask.endpoint)
         again = loop.call_later(ASK_AGAIN_S, self._ask_again, pending, endpoint)
         pending.timers.append(again)
 
@@ -262,7 +243,7 @@
             self._ask(pending, endpoint, len(pending.asks) + 1, primary=False)
 
     def _refuse(self, pending: Pending) -> None:
-        """End an attempt that every endpoint refused."""
+        """Refuse an attempt that every endpoint refused."""
         attempt = pending.attempt
         if attempt.request.request_class.tier is Tier.URGENT:
             everywhere = pending.asked >= {endpoint.name for endpoint in attempt.endpoints}
@@ -272,14 +253,14 @@
         pending.granted.set_result(Failure(problem))
 
     def _expire(self, pending: Pending) -> None:
-        """End an attempt whose schedulers did not answer in time."""
+        """Refuse an attempt whose schedulers did not answer in time."""
         if not pending.granted.done():
-            retry_after_s = min(pending.refusals.values(), default=ASK_AGAIN_S)
+            retry_after_s = min(pending.refusals.values(), default=NO_ENDPOINT_S)
             problem = Problem(Code.WAIT_EXPIRED, retry_after_s=retry_after_s)
             pending.granted.set_result(Failure(problem))
 
     def _give_back(self, pending: Pending) -> None:
-        """Return a slot that was granted just as the caller went away."""
+        """Give back a slot that was granted just as the caller went away."""
         granted = pending.granted
         if not granted.done() or granted.cancelled():
             return
@@ -288,7 +269,7 @@
                 self.release(slot, Outcome.UNUSED, Sample(slot.ask_id, 0.0, 0.0, 0))
 
     def _close(self, pending: Pending) -> None:
-        """Withdraw what is still asked; runs also when the caller went away."""
+        """Withdraw the asks that are left, also when the caller went away."""
         for timer in pending.timers:
             timer.cancel()
         for ask_id in pending.asks:
