--- a/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
@@ -12,9 +12,9 @@
 from springbridge.classes.entities import Table
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import TableStore
+from springbridge.classes.table.build import build, updated
 from springbridge.classes.table.changes import Change, Snapshot, apply, decode_change, encode_change
 from springbridge.classes.table.freshness import NEVER_S, Confirmation, may_serve
-from springbridge.classes.table.rows import build, updated
 from springbridge.membership import Membership
 
 from springbridge_node import logs
--- a/packages/springbridge-standins/springbridge_standins/capacity_library.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity_library.py
@@ -11,8 +11,8 @@
 from springbridge.classes.limits import LimitOwner, NodeLimit
 from springbridge.classes.request_ids import parse, prefix
 from springbridge.classes.slots.scheduler import EndpointScheduler
+from springbridge.classes.table.build import build, updated
 from springbridge.classes.table.changes import Change, Edit, Snapshot, apply
-from springbridge.classes.table.rows import build, updated
 from springbridge.hashing import owner
 from springbridge.membership import Member, Membership
 from springbridge_node.class_router.peers.messages import Digest
--- a/packages/springbridge/springbridge/classes/table/changes.py
+++ b/packages/springbridge/springbridge/classes/table/changes.py
@@ -11,7 +11,8 @@
 import orjson
 from returns.result import Failure, Result, Success
 
-from springbridge.classes.table.rows import Cells, check_key_owners, check_references, parse
+from springbridge.classes.table.checks import check_key_owners, check_references
+from springbridge.classes.table.rows import Cells, parse
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
--- a/packages/springbridge/springbridge/classes/table/rows.py
+++ b/packages/springbridge/springbridge/classes/table/rows.py
@@ -8,7 +8,6 @@
 import math
 import re
 from collections.abc import Callable, Mapping
-from dataclasses import replace
 
 from returns.result import Failure, Result, Success
 
@@ -18,7 +17,6 @@
     EndpointKind,
     RequestClass,
     Share,
-    Table,
     Tier,
 )
 from springbridge.codes import Code
@@ -180,100 +178,3 @@
 
 def _malformed(key: str, detail: str) -> Failure[Problem]:
     return Failure(Problem(Code.ROW_MALFORMED, detail, key))
-
-
-def build(version: int, rows: Mapping[str, Cells]) -> tuple[Table, list[Problem]]:
-    """Return the table that rows make up, and a problem for each row that had to be left out."""
-    table = Table(version)
-    problems: list[Problem] = []
-    for key, cells in rows.items():
-        match parse(key, cells):
-            case Success(record):
-                _put(table, record)
-            case Failure(problem):
-                problems.append(problem)
-    return index_keys(table), problems
-
-
-def _put(table: Table, record: Record) -> None:
-    """Add a record to a table that is still being built."""
-    match record:
-        case RequestClass():
-            table.classes[record.name] = record
-        case Customer():
-            table.customers[record.name] = record
-        case Share():
-            table.shares[record.customer, record.request_class] = record
-        case Endpoint():
-            table.endpoints[record.name] = record
-
-
-def updated(table: Table, version: int, rows: Mapping[str, Cells | None]) -> Table:
-    """Return the table after some rows were changed; None stands for a row that was removed.
-
-    The cost is that of the changed rows and of copying the mappings, not of reading all rows.
-    """
-    after = Table(
-        version,
-        dict(table.classes),
-        dict(table.customers),
-        dict(table.shares),
-        dict(table.endpoints),
-        dict(table.keys),
-    )
-    for key, cells in rows.items():
-        _remove(after, key)
-        if cells is not None:
-            parse(key, cells).map(lambda record: _put(after, record))
-    if any(key.startswith("customer/") for key in rows):
-        return index_keys(after)
-    return after
-
-
-def _remove(table: Table, key: str) -> None:
-    """Take a row's record out of a table that is being built."""
-    kind, *names = key.split("/")
-    holders = {
-        "class": table.classes,
-        "customer": table.customers,
-        "share": table.shares,
-        "engine": table.endpoints,
-    }
-    holders[kind].pop(tuple(names) if kind == "share" else names[0], None)
-
-
-def index_keys(table: Table) -> Table:
-    """Return the table with its index from key digest to customer made anew."""
-    keys = {
-        digest: customer.name
-        for customer in table.customers.values()
-        for digest in customer.key_hashes
-    }
-    return replace(table, keys=keys)
-
-
-def check_references(rows: Mapping[str, Cells]) -> list[Problem]:
-    """Return a problem for each share whose customer or class has no row."""
-    problems = []
-    for key in rows:
-        parts = key.split("/")
-        if parts[0] != "share" or len(parts) != KEY_PARTS["share"]:
-            continue
-        for wanted in (f"customer/{parts[1]}", f"class/{parts[2]}"):
-            if wanted not in rows:
-                problems.append(Problem(Code.ROW_MALFORMED, f"there is no row {wanted}", key))
-    return problems
-
-
-def check_key_owners(rows: Mapping[str, Cells]) -> list[Problem]:
-    """Return a problem for each key digest that two customers claim."""
-    owners: dict[str, str] = {}
-    problems = []
-    for key, cells in rows.items():
-        if not key.startswith("customer/"):
-            continue
-        for digest in cells.get("key_hashes", "").split():
-            if owners.setdefault(digest, key) != key:
-                detail = f"a key of this row also belongs to {owners[digest]}"
-                problems.append(Problem(Code.ROW_MALFORMED, detail, key))
-    return problems
--- a/packages/springbridge/springbridge/classes/table/sheet.py
+++ b/packages/springbridge/springbridge/classes/table/sheet.py
@@ -6,13 +6,8 @@
 
 from returns.result import Failure, Result, Success
 
-from springbridge.classes.table.rows import (
-    COLUMNS,
-    Cells,
-    check_key_owners,
-    check_references,
-    parse,
-)
+from springbridge.classes.table.checks import check_key_owners, check_references
+from springbridge.classes.table.rows import COLUMNS, Cells, parse
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
--- a/packages/springbridge/springbridge/classes/table/sheet_test.py
+++ b/packages/springbridge/springbridge/classes/table/sheet_test.py
@@ -10,6 +10,7 @@
 
 from springbridge.classes.placement import allowed_endpoints, allowed_failure_domains
 from springbridge.classes.table import sheet
+from springbridge.classes.table.build import build, updated
 from springbridge.classes.table.changes import (
     Change,
     Edit,
@@ -20,7 +21,6 @@
     difference,
     encode_change,
 )
-from springbridge.classes.table.rows import build, updated
 from springbridge.codes import Code
 
 EXAMPLES = Path(__file__).parents[5] / "examples"
