--- a/packages/springbridge-node/springbridge_node/class_router/assembly.py
+++ b/packages/springbridge-node/springbridge_node/class_router/assembly.py
@@ -1,4 +1,4 @@
-"""Joins a node with the adapters of its platform."""
+"""Builds a node with the adapters for its platform."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 def make_node(settings: Settings) -> Node:
-    """Return a node with the platform's adapters."""
+    """Return a node; nothing runs yet."""
     client = make_client()
     store = HttpTableStore(settings.table_address, client, time.time)
     listing = HttpInstanceList(settings.list_address, client)
--- a/packages/springbridge-node/springbridge_node/class_router/callers/caller_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/caller_handler.py
@@ -1,4 +1,4 @@
-"""What all handlers of callers share, and the handlers that tell how the node is."""
+"""What all handlers for callers share: answers to problems. Also health and readiness."""
 
 import orjson
 from springbridge.codes import Code
@@ -13,7 +13,7 @@
 
 
 class CallerHandler(RequestHandler):
-    """What all handlers of callers share: answers to problems."""
+    """Base of all handlers for callers."""
 
     node: NodeParts
 
@@ -38,7 +38,7 @@
         return orjson.dumps(body)
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answer a fault of this program, or a path that does not exist, without a traceback."""
+        """Answer a fault of this program or an unknown path; callers never see a traceback."""
         code = Code.UNKNOWN_PATH if status_code in (404, 405) else Code.INTERNAL
         self.refuse(Problem(code))
 
@@ -63,7 +63,7 @@
     """Answers paths that do not exist."""
 
     def prepare(self) -> None:
-        """Answer at once."""
+        """Refuse before any body is read."""
         self.refuse(Problem(Code.UNKNOWN_PATH, source=self.request.path[:100]))
 
 
@@ -71,7 +71,7 @@
     """Health: the process answers."""
 
     def get(self) -> None:
-        """Answer."""
+        """Answer with 200."""
         self.finish({"alive": True})
 
 
@@ -79,7 +79,7 @@
     """Readiness: the node takes new requests."""
 
     def get(self) -> None:
-        """Answer, or say why not."""
+        """Answer with 200 and the version in force, or with why requests are refused."""
         problem = self.node.closed()
         if problem is not None:
             self.refuse(problem)
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -28,11 +28,12 @@
 from springbridge_node.class_router import metrics
 from springbridge_node.class_router.callers.http_app import make_application
 from springbridge_node.class_router.config.config_sync import ConfigSync
-from springbridge_node.class_router.config.editing import Editor, Orders
+from springbridge_node.class_router.config.editing import Editor
 from springbridge_node.class_router.endpoints.endpoint_http import make_client
 from springbridge_node.class_router.endpoints.engine_roles import EngineRoles
 from springbridge_node.class_router.endpoints.load_reports import LoadReports
 from springbridge_node.class_router.endpoints.model_client import ModelClient
+from springbridge_node.class_router.endpoints.orders import Orders
 from springbridge_node.class_router.endpoints.policies import slot_source
 from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
 from springbridge_node.class_router.endpoints.service_client import ServiceClient
--- a/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
@@ -1,7 +1,9 @@
-"""Keeps the operators' table in force: read from the platform, passed on between peers.
+"""Keeps the operators' table in step with the platform's, directly or by way of peers.
 
-The node reads the version about once a second and then only the changes that it lacks. When a peer
-has a higher version, it asks that peer for the changes. Versions only ever grow.
+The node reads the version once a second, then only the changes that it lacks. It asks a peer for
+changes as soon as a digest shows that the peer has a higher version. Versions only ever grow.
+Owns the table in force; when that is fresh enough to serve is decided in
+springbridge.classes.table.freshness.
 """
 
 import asyncio
@@ -39,7 +41,13 @@
 
 
 class ConfigSync:
-    """The operators' table on this node."""
+    """The operators' table on this node.
+
+    Attributes:
+      snapshot: The rows in force, with their version.
+      table: The records built from them; rows that make no valid record are left out.
+      confirmation: When the version was last known to be the newest.
+    """
 
     def __init__(
         self,
@@ -98,7 +106,7 @@
                 self.put_snapshot(snapshot)
 
     def apply_changes(self, changes: list[Change]) -> None:
-        """Apply changes that follow the version in force; others are left out."""
+        """Apply changes that follow the version in force; others are ignored."""
         for change in changes:
             if change.version == self.snapshot.version + 1:
                 rows = {edit.key: edit.after for edit in change.edits}
@@ -108,7 +116,7 @@
         self._recent = self._recent[-CHANGES_KEPT:]
 
     def put_snapshot(self, snapshot: Snapshot) -> None:
-        """Put a newer snapshot in force; an older one is left out."""
+        """Put a newer snapshot in force; an older one is ignored."""
         if snapshot.version > self.snapshot.version:
             table, problems = build(snapshot.version, snapshot.rows)
             self._put_in_force(snapshot, table)
@@ -127,8 +135,8 @@
     def may_serve(self) -> bool:
         """Return whether this node may serve under the table that it holds.
 
-        A decision stands for DECISION_S, since looking at all members for each request would take
-        longer than the request. A node that was frozen decides anew, as its clock went on.
+        A decision stands for DECISION_S: to look at all members for each request costs too much. A
+        node that was frozen decides anew when it wakes up, since its clock went on.
         """
         now_s = self._clock()
         if now_s - self._decided_s > DECISION_S:
--- a/packages/springbridge-node/springbridge_node/class_router/config/editing.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/editing.py
@@ -1,12 +1,14 @@
-"""Accepts changes of the operators' table and orders to endpoints, on behalf of an operator."""
+"""Commits an operator's edit of the table: checked against the newest rows, then written once.
+
+A lost reply is settled by the change id: repeating an edit under the same id changes nothing more.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import UTC, datetime
 
 from returns.result import Failure, Result, Success
-from springbridge.classes.entities import Endpoint
-from springbridge.classes.ports import MOVED_ON, OrderKind, OrderLease, TableStore
+from springbridge.classes.ports import MOVED_ON, TableStore
 from springbridge.classes.table.changes import Change, Edit, Snapshot, check_edits
 from springbridge.codes import Code
 from springbridge.membership import Membership
@@ -14,14 +16,9 @@
 
 from springbridge_node import logs
 from springbridge_node.class_router.config.config_sync import ConfigSync
-from springbridge_node.class_router.endpoints.model_client import ModelClient
 
 # Tries to commit an edit that keeps losing races against edits of other rows. Not measured.
 COMMIT_TRIES = 5
-# What must be left of a lease (10 s) when an order goes to an endpoint that checks no fencing
-# token. It covers a pause of the node between this check and the send; a longer one is not
-# covered.
-LEASE_MARGIN_S = 5.0
 # When an operator may try again while the table is out: two intervals of reading it. Not measured.
 OUTAGE_RETRY_S = 2.0
 
@@ -53,7 +50,11 @@
         membership: Membership,
         announce: Callable[[], None],
     ):
-        """Keep the ports; announce tells the peers of a new version at once."""
+        """Keep the ports.
+
+        Args:
+          announce: Sends a digest to all peers, so that they ask for a new version at once.
+        """
         self._store = store
         self._config = config
         self._membership = membership
@@ -98,10 +99,10 @@
         return await self._accepted(change, snapshot)
 
     async def _accepted(self, change: Change, before: Snapshot) -> Result[int, list[Problem]]:
-        """Put an accepted change in force here and tell the peers.
+        """Put an accepted change in force here and announce it.
 
-        A lost reply may have hidden that the change was accepted at a version further on, so the
-        record that is in the trail is the one that counts.
+        After a lost reply the change may have been accepted under a later version than asked for,
+        so its audit record is read back and counts.
         """
         match await self._store.find_change(change.change_id):
             case Success(Change() as written):
@@ -124,50 +125,3 @@
     """Return the change that an edit leads to after a snapshot."""
     when = datetime.now(UTC).isoformat(timespec="milliseconds")
     return Change(snapshot.version + 1, request.change_id, request.who, when, request.edits)
-
-
-class Orders:
-    """Gives orders to endpoints under a lease with an epoch in the platform's table."""
-
-    def __init__(self, store: TableStore, client: ModelClient, me: str, clock: Callable[[], float]):
-        """Keep the ports and this node's incarnation, the holder of the leases."""
-        self._store = store
-        self._client = client
-        self._me = me
-        self._clock = clock
-
-    async def give(
-        self, endpoint: Endpoint, kind: OrderKind, argument: str
-    ) -> Result[int, Problem]:
-        """Give an order and return the epoch under which it was taken.
-
-        An endpoint that checks tokens refuses a lower epoch by itself. For one that does not, the
-        node takes the lease anew just before and gives the order only well inside it, and only
-        orders that may be repeated: a role change is left to the operator.
-        """
-        if not endpoint.checks_tokens and kind is OrderKind.ROLE:
-            detail = "the engine checks no tokens; change its role by hand"
-            return Failure(Problem(Code.ORDER_REFUSED, detail, endpoint.name))
-        asked_s = self._clock()
-        match await self._store.take_lease(endpoint.name, self._me):
-            case Failure(problem):
-                return Failure(problem)
-            case Success(lease):
-                pass
-        margin_s = 0.0 if endpoint.checks_tokens else LEASE_MARGIN_S
-        if self._clock() - asked_s + margin_s > lease.valid_s:
-            detail = "too little of the lease is left"
-            return Failure(Problem(Code.ORDER_REFUSED, detail, endpoint.name))
-        return await self._send(endpoint, kind, argument, lease)
-
-    async def _send(
-        self, endpoint: Endpoint, kind: OrderKind, argument: str, lease: OrderLease
-    ) -> Result[int, Problem]:
-        try:
-            reply = await self._client.order(endpoint, kind, argument, lease)
-        except (TimeoutError, OSError) as exc:
-            return Failure(Problem(Code.OUTCOME_UNKNOWN, type(exc).__name__, endpoint.name))
-        if not reply.taken:
-            return Failure(Problem(Code.ORDER_REFUSED, reply.text, endpoint.name))
-        logs.event("order.taken", engine=endpoint.name, order=kind.value, epoch=lease.epoch)
-        return Success(lease.epoch)
--- a/packages/springbridge-node/springbridge_node/class_router/config/table_store.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/table_store.py
@@ -45,7 +45,7 @@
 # Pause before each of these looks: a write that is late may still take effect. Not measured.
 SETTLE_PAUSE_S = 0.3
 # Length of a lease for orders. It bounds how long a dead holder keeps others out, and leaves 5 s to
-# send after the margin that editing.py takes off. Not measured.
+# send after the margin that orders.py takes off. Not measured.
 ORDER_LEASE_S = 10.0
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/engine_roles.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/engine_roles.py
@@ -1,4 +1,7 @@
-"""Which node schedules each endpoint, by hashing over the live members."""
+"""Which node schedules each endpoint.
+
+Rendezvous hashing gives each node the same answer from the live members, so no message is needed.
+"""
 
 from collections.abc import Callable
 
@@ -10,7 +13,7 @@
 
 
 class EngineRoles:
-    """The schedulers of all endpoints, as of the last look at the members."""
+    """The scheduling node of each endpoint, as of the last check of the members."""
 
     def __init__(
         self, config: ConfigSync, membership: Membership, changed: Callable[[], None]
@@ -27,11 +30,11 @@
         self._roles_from: tuple[int, tuple[str, ...]] = (0, ())
 
     def scheduler_of(self, endpoint: str) -> str | None:
-        """Return the incarnation that schedules an endpoint, None where nobody is known to."""
+        """Return the incarnation that schedules an endpoint, or None for an unknown endpoint."""
         return self._roles.get(endpoint)
 
     def check(self) -> None:
-        """Look at the members; move asks and slots when an endpoint's scheduler has changed."""
+        """Hash again if members or table changed, and report a change of any scheduler."""
         live = tuple(sorted(self._membership.incarnations()))
         version = self._config.table.version
         if (version, live) == self._roles_from:
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/load_reports.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/load_reports.py
@@ -1,4 +1,4 @@
-"""The endpoints' own load reports, which lag; only the least-load baseline uses them."""
+"""The endpoints' own load reports, which lag. Only the least-load baseline reads them."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,7 +21,7 @@
         self._loads: dict[str, float] = {}
 
     def load(self, endpoint: Endpoint) -> float:
-        """Return the last reported load of an endpoint; 0 where none came yet."""
+        """Return the last reported load of an endpoint, 0 before the first report."""
         return self._loads.get(endpoint.name, 0.0)
 
     async def run(self) -> None:
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
@@ -1,4 +1,4 @@
-"""The policies of scheduling that the settings can name."""
+"""The scheduling policies that the settings can name."""
 
 from springbridge.classes.ports import SlotSource
 from springbridge.classes.slots.baselines import LeastLoadSlots, RoundRobinSlots
@@ -8,7 +8,7 @@
 
 
 def slot_source(policy: str, scheduled: ScheduledSlots, reports: LoadReports) -> SlotSource:
-    """Return where attempts get their slots under a policy."""
+    """Return the source of slots for a policy; the two baselines are for comparison."""
     if policy == "round-robin":
         return RoundRobinSlots()
     if policy == "least-load":
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
@@ -1,4 +1,8 @@
-"""The schedulers that run on this node: one for each endpoint that the node is the owner of."""
+"""The schedulers that run on this node: one for each endpoint that it owns by hash.
+
+Owns the schedulers and which endpoint an ask is for. The decisions are the library's
+(springbridge.classes.slots.scheduler); this module carries messages to them and back.
+"""
 
 from collections.abc import Callable
 from functools import singledispatchmethod
@@ -14,7 +18,7 @@
 
 
 class SchedulerHost:
-    """Takes in what entry nodes ask and sends them the decisions."""
+    """Hands the messages of entry nodes to the schedulers, and sends their decisions back."""
 
     def __init__(
         self,
@@ -24,7 +28,7 @@
         table: Callable[[], Table],
         send: Callable[[str, Decision], None],
     ):
-        """Start with no scheduler; they are made when first asked."""
+        """Start with no scheduler; each is made at the first ask for its endpoint."""
         self._me = me
         self._clock = clock
         self._invariants = invariants
@@ -85,7 +89,7 @@
                     self._carry(scheduler.drop_node(node))
 
     def keep_only(self, owned: Callable[[str], bool]) -> None:
-        """Drop idle schedulers of endpoints that other nodes own now or that the table lost."""
+        """Drop idle schedulers of endpoints that this node no longer owns or knows."""
         for endpoint, scheduler in list(self.schedulers.items()):
             idle = not scheduler.running and not len(scheduler.queue)
             if idle and not owned(endpoint):
@@ -96,7 +100,7 @@
         self._endpoint_of = {ask: name for ask, name in self._endpoint_of.items() if ask in live}
 
     def _scheduler(self, endpoint: str) -> EngineScheduler | None:
-        """Return the scheduler of an endpoint of the table."""
+        """Return the scheduler of an endpoint, or None if the table has no such endpoint."""
         found = self.schedulers.get(endpoint)
         if found is not None:
             return found
--- a/packages/springbridge-node/springbridge_node/class_router/metrics.py
+++ b/packages/springbridge-node/springbridge_node/class_router/metrics.py
@@ -8,7 +8,7 @@
 
 
 class Metrics(Protocol):
-    """What the node counts and times with."""
+    """Where the node's counts and durations go."""
 
     def incr(self, stat: str, count: int = 1) -> None:
         """Count an event."""
--- a/packages/springbridge-node/springbridge_node/class_router/node_parts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/node_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a running node, as its HTTP handlers see them."""
+"""The parts of a running node, as its HTTP handlers see them, and when it takes requests."""
 
 from collections.abc import Callable
 from contextlib import contextmanager
@@ -24,7 +24,9 @@
     """The parts of a node.
 
     Attributes:
-      refusing: Whether new requests are refused, as the node is leaving for long enough.
+      clock: Monotonic time in seconds.
+      refusing: Whether new requests are refused: the planned stop has waited until callers had
+        time to learn other addresses.
       running: Requests that are being answered.
     """
 
@@ -39,7 +41,12 @@
     running: int = 0
 
     def closed(self) -> Problem | None:
-        """Return why new requests are refused, or None."""
+        """Decide on readiness: return why new requests are refused, or None.
+
+        Inputs: whether a planned stop refuses already, and whether the table in force is fresh
+        enough (springbridge.classes.table.freshness).
+        Outcome: NODE_LEAVING or CONFIG_NOT_FRESH with a time to come back, or None.
+        """
         if self.refusing:
             return Problem(Code.NODE_LEAVING, retry_after_s=CLOSED_RETRY_S)
         if not self.config.may_serve():
@@ -47,7 +54,7 @@
         return None
 
     def other_live(self) -> list[Member]:
-        """Return the live members without this one."""
+        """Return the other live members, which a refused caller may use instead."""
         me = self.membership.me.incarnation
         return [member for member in self.membership.live() if member.incarnation != me]
 
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -15,7 +15,8 @@
 
 from springbridge_node import logs
 from springbridge_node.class_router.callers.caller_handler import JSON, describe
-from springbridge_node.class_router.config.editing import Editor, EditRequest, Orders
+from springbridge_node.class_router.config.editing import Editor, EditRequest
+from springbridge_node.class_router.endpoints.orders import Orders
 from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
 from springbridge_node.class_router.node_parts import NodeParts
 from springbridge_node.class_router.peers.peer_links import PeerLinks
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -1,4 +1,4 @@
-"""What a node does with each message of a peer."""
+"""Dispatch: which part of the node each message goes to."""
 
 from dataclasses import dataclass
 from functools import singledispatchmethod
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class IntakeParts:
-    """Who takes in messages."""
+    """The parts that messages are for."""
 
     hosts: SchedulerHost
     slots: ScheduledSlots
@@ -47,14 +47,14 @@
 
 
 class MessageIntake:
-    """Hands each message to the part that it is for."""
+    """Dispatches by the type of the message."""
 
     def __init__(self, parts: IntakeParts) -> None:
         """Keep the parts."""
         self._parts = parts
 
     def take(self, message: Message) -> None:
-        """Take in a message from a peer or from this node itself."""
+        """Hand over a message from a peer or from this node itself."""
         self._take(message)
 
     @singledispatchmethod
--- a/packages/springbridge-node/springbridge_node/class_router/peers/messages.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes that have no record of their own in the library package."""
+"""Messages between nodes: those that the library has no record for, and the union of all."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Digest:
-    """What a node knows of the members."""
+    """Members as the sender knows them; gossip keeps the number bounded."""
 
     members: tuple[Member, ...]
 
@@ -43,7 +43,14 @@
 
 @dataclass(frozen=True)
 class HandOver:
-    """A node that holds a retry asks the request's home what became of it."""
+    """A node that got a retry asks the request's home what became of it.
+
+    Attributes:
+      call_id: Names this question; the reply repeats it.
+      node: Incarnation that asks.
+      home: Incarnation that is asked; another one at the same address does not answer.
+      owner: Customer and class of the caller.
+    """
 
     call_id: str
     node: str
@@ -54,7 +61,13 @@
 
 @dataclass(frozen=True)
 class HandOverReply:
-    """The home's answer: the stage of the request, and who is home now if it moved."""
+    """The home's reply.
+
+    Attributes:
+      stage: How far the request has come, a number of springbridge.classes.binding.Stage.
+      moved_to: Incarnation that is the home now, in stage MOVED; else empty.
+      code: Why the home refused the request, in stage REFUSED; else OK.
+    """
 
     call_id: str
     stage: int
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
@@ -1,6 +1,7 @@
-"""Between the records and their protobuf messages.
+"""Translates between the records of messages and protobuf.
 
-A message has the fields of its record. Two kinds of names on the wire are older than the records'.
+A protobuf message has the fields of its record, so none is written out by hand. Types and fields
+whose names on the wire differ from the code's are listed below.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,7 +12,7 @@
 from springbridge_node.class_router.peers.messages import Message
 from springbridge_node.class_router.peers.proto import peer_pb2
 
-# Names in peer.proto of record types and fields that are called otherwise in the code.
+# Names in peer.proto, which are older, by the names that types and fields have in the code.
 WIRE_TYPES = {"SnapshotStatus": "ListingSeen"}
 WIRE_FIELDS = {
     "failure_domain": "place",
@@ -37,7 +38,7 @@
 
 
 def decode(envelope: peer_pb2.Envelope) -> list[Message]:
-    """Return the messages of an envelope, without those of kinds that this node does not know."""
+    """Return the messages of an envelope; kinds that only newer nodes know are left out."""
     found = []
     for item in envelope.items:
         name = item.WhichOneof("kind")
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
@@ -1,10 +1,10 @@
 """Outgoing streams to peers: one task and one long-lived stream for each peer address.
 
 Messages that wait are sent together in one envelope. A stream that breaks is opened again after a
-pause; what was on the way is lost, and the protocols above repeat what they need.
+pause. What was on its way is lost; the senders repeat what they still need.
 
 Waits are bounded by asyncio.timeout: before Python 3.12 asyncio.wait_for can lose a cancellation
-that comes just as the awaited thing ends; a link that misses it would keep a node from stopping.
+that comes just as the awaited call ends, and a link that misses it keeps the node from stopping.
 """
 
 import asyncio
@@ -62,12 +62,12 @@
         self._waiting = asyncio.Event()
 
     def send(self, message: Message) -> None:
-        """Queue a message; the oldest are dropped when the peer takes none for long."""
+        """Queue a message; beyond QUEUE_LIMIT the oldest are dropped."""
         self._queue.append(message)
         self._waiting.set()
 
     async def run(self, on_open: Callable[[], None], on_break: Callable[[], None]) -> None:
-        """Keep the stream open until cancelled or idle for long."""
+        """Keep the stream open until cancelled, or idle for IDLE_CLOSE_S."""
         while True:
             try:
                 await self._talk(on_open)
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
@@ -1,4 +1,4 @@
-"""The peers' side of a node: takes in their streams and lets them follow answers."""
+"""Server for peers over gRPC: takes in their messages and lets them follow answers."""
 
 import hmac
 from collections.abc import Callable
@@ -24,7 +24,7 @@
         answers: KeptAnswers,
         take: Callable[[Message], None],
     ):
-        """Keep the peers' token and where messages go."""
+        """Keep the secret that all nodes share, and take, which gets each message."""
         self._incarnation = incarnation
         self._token = token
         self._answers = answers
@@ -39,7 +39,7 @@
         await stream.send_message(peer_pb2.Ended())
 
     async def Attach(self, stream) -> None:  # noqa: N802 - the name is the interface's
-        """Send the answer of a request that this node is home of, from an offset on."""
+        """Send the answer of a request whose home this node is, from an offset on."""
         self._authenticate(stream)
         request = await stream.recv_message()
         answer = self._answers.find(request.request_id)
--- a/packages/springbridge-node/springbridge_node/class_router/platform_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/platform_test.py
@@ -14,11 +14,11 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength, Is
 
-from springbridge_node.class_router.config.editing import Orders
 from springbridge_node.class_router.config.instance_list import HttpInstanceList
 from springbridge_node.class_router.config.table_store import ORDER_LEASE_S, HttpTableStore
 from springbridge_node.class_router.endpoints.endpoint_http import make_client
 from springbridge_node.class_router.endpoints.model_client import ModelClient
+from springbridge_node.class_router.endpoints.orders import Orders
 
 ROW = "class/claims"
 CELLS = {"tier": "urgent"}
--- a/packages/springbridge-node/springbridge_node/class_router/requests/growing_answers.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/growing_answers.py
@@ -1,4 +1,7 @@
-"""Answers as they grow: one writer, any number of readers, each from its own offset."""
+"""Answers as they grow: one writer, any number of readers, each from its own offset.
+
+Owns the answers that are kept for retries. They live in memory only and end with the process.
+"""
 
 import asyncio
 from collections import OrderedDict
@@ -18,7 +21,12 @@
 
 @dataclass
 class Answer:
-    """The pieces of one answer so far, and how it ended."""
+    """The chunks of one answer so far, and how it ended.
+
+    Attributes:
+      offset: Tokens so far.
+      problem: Why the answer is not whole, once it has ended; None if it is.
+    """
 
     request_id: str
     pieces: list[Chunk] = field(default_factory=list)
@@ -28,7 +36,7 @@
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def add(self, chunk: Chunk) -> None:
-        """Append the next piece."""
+        """Append the next chunk."""
         self.pieces.append(chunk)
         self.offset += chunk.tokens
         self._wake()
@@ -45,7 +53,7 @@
         return "".join(chunk.text for chunk in self.pieces)
 
     async def follow(self, offset: int = 0) -> AsyncIterator[Chunk]:
-        """Yield the pieces from an offset on, until the answer has ended."""
+        """Yield the chunks from an offset in tokens on, until the answer has ended."""
         position = 0
         while True:
             while position < len(self.pieces):
@@ -72,7 +80,7 @@
     """Answers of requests that are not repeatable, kept for retries of their callers."""
 
     def __init__(self, clock: Callable[[], float]):
-        """Start with none; the clock is monotonic, in seconds."""
+        """Start with no answer; the clock is monotonic, in seconds."""
         self._clock = clock
         self._answers: OrderedDict[str, tuple[Answer, float]] = OrderedDict()
 
--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -1,4 +1,8 @@
-"""Admission by rate and concurrency at an entry node, from leases of the limits' owners."""
+"""Admission by rate and concurrency: leases that this node has from the limits' owners.
+
+Also answers other nodes for the limits that this node owns. The arithmetic of leases and shares is
+the library's (springbridge.classes.limits); this module waits, sends and remembers.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -24,11 +28,12 @@
 # measured.
 IDLE_KEEP_S = 60.0
 
+# Customer and class, which name a limit as they name a share in the table.
 Key = tuple[str, str]
 
 
 class LimitGate:
-    """Entry node's and owner's side of all limits."""
+    """All limits: those that requests here run into, and those that this node owns."""
 
     def __init__(
         self,
@@ -37,7 +42,7 @@
         table: Callable[[], Table],
         send: Callable[[str, Message], None],
     ):
-        """Start with no lease."""
+        """Start with no lease, neither taken nor given."""
         self._membership = membership
         self._clock = clock
         self._table = table
@@ -47,9 +52,11 @@
         self._answers: dict[Key, asyncio.Future[None]] = {}
 
     async def start(self, share: Share) -> Result[NodeLimit, Problem]:
-        """Admit one request of a customer and class, or return the limit it ran into.
+        """Admit one request of a customer and class, waiting for a lease if there is none.
 
-        The caller has to finish() the limit that it gets.
+        Returns:
+          The limit, which the caller has to finish(), see finishing(); or RATE_LIMITED or
+          CONCURRENCY_LIMITED with a time to come back.
         """
         key = (share.customer, share.request_class)
         limit = self._limits.setdefault(key, NodeLimit(share))
@@ -70,10 +77,11 @@
         return Failure(Problem(code, source=source, retry_after_s=retry_after_s))
 
     async def _renew(self, key: Key, limit: NodeLimit) -> bool:
-        """Wait for a lease, or take the equal part if the owner does not answer.
+        """Wait for a lease, or fall back to the equal part if the owner does not answer.
 
         Returns:
-          Whether the ask was made here; one that was under way did not count this request.
+          Whether this request asked for it. One that was under way was sized without this request,
+          so the caller tries once more.
         """
         answer = self._answers.get(key)
         asks = answer is None
@@ -90,7 +98,7 @@
         return asks
 
     def _answered(self, key: Key) -> None:
-        """Let those who wait for a lease go on."""
+        """Wake the requests that wait for a lease."""
         answer = self._answers.pop(key, None)
         if answer is not None and not answer.done():
             answer.set_result(None)
@@ -118,7 +126,7 @@
         self._answered(key)
 
     def renew_in_use(self) -> None:
-        """Renew the leases of all limits in use, so that their owners keep counting the places."""
+        """Renew the leases of all limits in use; their owners count running requests by them."""
         me = self._membership.me.incarnation
         for key, limit in self._limits.items():
             holder = self._owner_of(*key)
@@ -146,7 +154,7 @@
 
 @contextmanager
 def finishing(limit: NodeLimit):
-    """Give the place back at the end."""
+    """Give the request's place under the limit back at the end."""
     try:
         yield
     finally:
--- a/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
+++ b/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node, checked before it starts."""
+"""Settings of ``springbridge serve``, checked before the node starts."""
 
 import re
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """Settings of a node; docs/SETTINGS.md explains each."""
+    """Settings of a node, one for each option; docs/SETTINGS.md has the list."""
 
     instance: str
     failure_domain: str
--- a/packages/springbridge-node/springbridge_node/class_router/settings_page.py
+++ b/packages/springbridge-node/springbridge_node/class_router/settings_page.py
@@ -1,4 +1,4 @@
-"""The table of docs/SETTINGS.md, written from the command line itself."""
+"""Prints the table of docs/SETTINGS.md from the options of the command line."""
 
 import typer
 
--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants.py
@@ -206,7 +206,7 @@
     ),
     Mutant(
         "own clock before an order",
-        f"{NODE}/class_router/config/editing.py",
+        f"{NODE}/class_router/endpoints/orders.py",
         "margin_s = 0.0 if endpoint.checks_tokens else LEASE_MARGIN_S",
         "margin_s = -1e9",
         f"{NODE}/class_router/platform_test.py::test_engine_that_does_not_check_gets_no_order_after_a_pause",
