--- a/packages/springbridge-ctl/springbridge_ctl/client.py
+++ b/packages/springbridge-ctl/springbridge_ctl/client.py
@@ -1,4 +1,4 @@
-"""Client of a node's operators' interface."""
+"""Client of a node's operators' interface: one HTTP call a command, every failure a result."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True)
 class Operator:
-    """Who speaks to which node.
+    """An operator at one node.
 
     Attributes:
-      node: IP number:port of a node's callers' interface.
-      token: The operators' token.
-      who: Name that goes into the audit trail.
+      node: IP number:port of a node's interface for callers, which serves operators as well.
+      token: The secret that all operators share.
+      who: Name for the audit trail; empty where a command changes nothing.
     """
 
     node: str
@@ -30,11 +30,11 @@
     who: str
 
     def get(self, path: str) -> Result[Any, list[Problem]]:
-        """Return the decoded answer to a read."""
+        """Return the decoded answer to a query, or NODE_UNREACHABLE, or the node's problems."""
         return self._fetch(path, None)
 
     def post(self, path: str, body: object) -> Result[Any, list[Problem]]:
-        """Return the decoded answer to a command."""
+        """Return the decoded answer to a command, or NODE_UNREACHABLE, or the node's problems."""
         return self._fetch(path, orjson.dumps(body))
 
     def _fetch(self, path: str, body: bytes | None) -> Result[Any, list[Problem]]:
@@ -52,6 +52,7 @@
                 raise ConnectionError(str(response.error))
             answer = orjson.loads(response.body)
         except Exception as exc:
+            # Whatever keeps the answer away is one problem for an operator, who is shown its kind.
             return Failure([Problem(Code.NODE_UNREACHABLE, type(exc).__name__, self.node)])
         finally:
             client.close()
@@ -61,7 +62,7 @@
 
 
 def _read_problem(raw: dict[str, Any]) -> Problem:
-    """Return a problem as a node describes it."""
+    """Return a problem from a node's JSON, whose message is the detail and the code's advice."""
     code = Code(raw["code"])
     detail = raw["message"].removesuffix(Problem(code).info.advice).rstrip(": ")
     return Problem(code, detail, "", raw["retry_after_s"])
--- a/packages/springbridge-ctl/springbridge_ctl/main.py
+++ b/packages/springbridge-ctl/springbridge_ctl/main.py
@@ -1,9 +1,13 @@
-"""Command line of the operators: ``springbridgectl``."""
+"""Command line for operators: ``springbridgectl``.
+
+Relies on one node, which reads and writes the platform's table; nothing is kept here.
+"""
 
 import secrets
 import sys
+from collections.abc import Mapping
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated, Any, NoReturn
 
 import orjson
 import typer
@@ -11,7 +15,7 @@
 from springbridge import __version__
 from springbridge.classes.table import sheet
 from springbridge.classes.table.changes import Snapshot, difference
-from springbridge.classes.table.rows import COLUMNS
+from springbridge.classes.table.rows import COLUMNS, Cells
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
@@ -56,7 +60,7 @@
     """Operators' command line of springbridge."""
 
 
-def fail(problems: list[Problem]) -> None:
+def fail(problems: list[Problem]) -> NoReturn:
     """Print problems with their codes and exit with status 1."""
     for problem in problems:
         typer.echo(f"{int(problem.code)} {problem.code.name}: {problem.sentence()}", err=True)
@@ -69,11 +73,11 @@
         case Success(value):
             return value
         case Failure(problems):
-            return fail(problems)
+            fail(problems)
 
 
 def read_table(operator: Operator) -> Snapshot:
-    """Return the table as the node has it in force."""
+    """Return the table that is in force at the node."""
     return Snapshot(**unwrap(operator.get("/operator/table")))
 
 
@@ -142,9 +146,16 @@
 
 
 def send_edit(
-    operator: Operator, snapshot: Snapshot, rows: dict, strict: bool, change_id: str
+    operator: Operator, snapshot: Snapshot, rows: Mapping[str, Cells], strict: bool, change_id: str
 ) -> None:
-    """Send the difference between two tables as one change."""
+    """Send the difference between two tables as one change.
+
+    Args:
+      snapshot: The table that the operator looked at.
+      rows: The table that the operator wants.
+      strict: Whether any change since the snapshot is a conflict, or only one of the same rows.
+      change_id: Repeated after an unknown outcome; empty for a new change.
+    """
     edits = difference(snapshot, rows)
     if not edits:
         typer.echo(f"nothing to change at version {snapshot.version}")
