--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -71,9 +71,11 @@
                 return problem
             case Success(admitted):
                 self.admitted = admitted
-        return self._wrong_place(admitted) or self._wrong_kind(admitted) or self.node.closed()
+        return (
+            self._wrong_failure_domain(admitted) or self._wrong_kind(admitted) or self.node.closed()
+        )
 
-    def _wrong_place(self, admitted: Admitted) -> Problem | None:
+    def _wrong_failure_domain(self, admitted: Admitted) -> Problem | None:
         """Return a problem where this node's failure domain may not handle the data."""
         failure_domain = self.node.settings.failure_domain
         if failure_domain in admitted.failure_domains:
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -30,12 +30,12 @@
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.config.editing import Editor
 from springbridge_node.class_router.endpoints.endpoint_http import make_client
-from springbridge_node.class_router.endpoints.engine_roles import EngineRoles
 from springbridge_node.class_router.endpoints.load_reports import LoadReports
 from springbridge_node.class_router.endpoints.model_client import ModelClient
 from springbridge_node.class_router.endpoints.orders import Orders
 from springbridge_node.class_router.endpoints.policies import slot_source
 from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
+from springbridge_node.class_router.endpoints.scheduler_roles import SchedulerRoles
 from springbridge_node.class_router.endpoints.service_client import ServiceClient
 from springbridge_node.class_router.housekeeping import Housekeeping
 from springbridge_node.class_router.node_parts import NodeParts
@@ -111,7 +111,7 @@
         self.hosts = SchedulerHost(
             self.incarnation, self.clock, self.invariants, lambda: self.config.table, self.send
         )
-        self.roles = EngineRoles(self.config, self.membership, lambda: self.slots.resend())
+        self.roles = SchedulerRoles(self.config, self.membership, lambda: self.slots.resend())
         self.slots = ScheduledSlots(
             self.incarnation,
             self.clock,
@@ -256,7 +256,11 @@
         self._tasks = [asyncio.ensure_future(one) for one in running]
 
     async def _drain(self) -> None:
-        """Leave: tell all peers, take new requests while callers may come, finish what runs."""
+        """Planned stop: announce it, serve on while callers may hold this address, then finish.
+
+        New requests are refused once callers had time to learn other addresses. Requests that run
+        end whole, however long they take.
+        """
         logs.event("node.leaving", instance=self.settings.instance, running=self.parts.running)
         self.membership.leave()
         self.gossip.announce()
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/endpoint_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/endpoint_http.py
@@ -77,7 +77,7 @@
 
 @proves_not_started.register
 def _(exc: HTTPTimeoutError) -> bool:
-    # Tornado tells the phases of a request apart by the text only.
+    # Tornado names the phase of the request only in the text.
     return "connecting" in str(exc) or "queue" in str(exc)
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/engine_roles.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_roles.py
@@ -12,7 +12,7 @@
 from springbridge_node.class_router.config.config_sync import ConfigSync
 
 
-class EngineRoles:
+class SchedulerRoles:
     """The scheduling node of each endpoint, as of the last check of the members."""
 
     def __init__(
--- a/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
+++ b/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
@@ -10,8 +10,8 @@
 from springbridge.classes.slots.slots import ScheduledSlots
 from springbridge.membership import GOSSIP_INTERVAL_S, Membership
 
-from springbridge_node.class_router.endpoints.engine_roles import EngineRoles
 from springbridge_node.class_router.endpoints.scheduler_host import TICK_S, SchedulerHost
+from springbridge_node.class_router.endpoints.scheduler_roles import SchedulerRoles
 from springbridge_node.class_router.peers.gossip import Gossip
 from springbridge_node.class_router.peers.messages import Message
 from springbridge_node.class_router.requests.limit_gate import LimitGate
@@ -36,7 +36,7 @@
     limits: LimitGate
     hosts: SchedulerHost
     slots: ScheduledSlots
-    roles: EngineRoles
+    roles: SchedulerRoles
     gossip: Gossip
     send: Callable[[str, Message], None]
 
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -7,6 +7,7 @@
 from returns.result import Failure, Result, Success
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import OrderKind, TableStore
+from springbridge.classes.slots.scheduler import EngineScheduler
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 from springbridge.membership import Member
@@ -158,21 +159,24 @@
                 "sent_messages": sent.messages,
                 "sent_bytes": sent.bytes,
                 "engines": [
-                    {
-                        "engine": name,
-                        "limits": [
-                            round(limit.limit, 2) for limit in scheduler.limits.tiers.values()
-                        ],
-                        "running": len(scheduler.running),
-                        "waiting": len(scheduler.queue),
-                        "suspect": scheduler.health.suspect,
-                    }
+                    _scheduler_row(name, scheduler)
                     for name, scheduler in parts.hosts.schedulers.items()
                 ],
             }
         )
 
 
+def _scheduler_row(endpoint: str, scheduler: EngineScheduler) -> dict[str, object]:
+    """Return the scheduler of an endpoint as the status shows it."""
+    return {
+        "engine": endpoint,
+        "limits": [round(limit.limit, 2) for limit in scheduler.limits.tiers.values()],
+        "running": len(scheduler.running),
+        "waiting": len(scheduler.queue),
+        "suspect": scheduler.health.suspect,
+    }
+
+
 def _member_row(member: Member) -> dict[str, object]:
     """Return a member as the status shows it; operators' tools know some fields by older names."""
     return {
--- a/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
@@ -149,7 +149,7 @@
 
 
 def unknown_because(problem: Problem | None) -> Problem | None:
-    """Return what a node tells that cannot say whether a request it refused has run."""
+    """Turn "not run" into "unknown": only the home of an id knows that nothing ran under it."""
     if problem is None or not problem.not_run:
         return problem
     detail = f"refused here ({problem.code.name}), and it may have run under this id"
--- a/packages/springbridge-node/springbridge_node/class_router/requests/home_lookup.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/home_lookup.py
@@ -121,7 +121,7 @@
 
 
 def _table_silent(problem: Problem) -> Problem:
-    """Return what a caller is told whose id has no home while the table cannot be asked."""
+    """Return the problem for an id without a home while the platform's table does not answer."""
     detail = "the table, which tells who runs it, does not answer"
     return Problem(Code.OUTCOME_UNKNOWN, detail, "", problem.retry_after_s)
 
--- a/packages/springbridge-node/springbridge_node/class_router/requests/work.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/work.py
@@ -106,7 +106,7 @@
 
 
 def outcome_of(end: End) -> Outcome:
-    """Return what the scheduler is told of an attempt."""
+    """Return the outcome that the endpoint's scheduler learns from."""
     return {
         End.WHOLE: Outcome.DONE,
         End.PREEMPTED: Outcome.CANCELLED,
