--- a/packages/springbridge-node/springbridge_node/class_router/node_parts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/node_parts.py
@@ -1,6 +1,6 @@
 """The parts of a running node, as its HTTP handlers see them, and when it takes requests."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
 
@@ -59,7 +59,7 @@
         return [member for member in self.membership.live() if member.incarnation != me]
 
     @contextmanager
-    def in_flight(self):
+    def in_flight(self) -> Iterator[None]:
         """Count a request while it is being answered."""
         self.running += 1
         try:
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
@@ -10,11 +10,11 @@
 import asyncio
 import random
 from collections import deque
-from collections.abc import Callable
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
 
-from grpclib.client import Channel
+from grpclib.client import Channel, Stream
 
 from springbridge_node.class_router.peers.messages import Message
 from springbridge_node.class_router.peers.peer_codec import encode
@@ -27,8 +27,8 @@
 # Mean pause before a broken stream is opened again, drawn from half to one and a half of it so that
 # nodes do not come back in step. Not measured; below the 0.5 s between two digests.
 RECONNECT_S = 0.2
-# A stream that carried nothing for this long is closed. Bounds the open
-# connections of a large fleet, where digests go to another random peer each time. Not measured.
+# A stream that carried nothing for this long is closed. Bounds the open connections of a large
+# fleet, where digests go to another random peer each time. Not measured.
 IDLE_CLOSE_S = 30.0
 # Longest wait for a connection to a peer, below the 2.5 s after which a silent member is suspected.
 # Not measured.
@@ -72,7 +72,9 @@
             try:
                 await self._talk(on_open)
             except TimeoutError:
-                # Idle for IDLE_CLOSE_S; the next message opens a new stream.
+                # Idle for IDLE_CLOSE_S, or no connection within CONNECT_TIMEOUT_S. The link ends
+                # with what it had queued, and the next message opens a new one. A peer that takes
+                # no connection is left to the membership, which hears no heartbeat from it.
                 return
             except Exception:
                 # A peer that is gone breaks its streams in many ways, several times a second. Not
@@ -96,7 +98,7 @@
                 finally:
                     ended.cancel()
 
-    async def _send_all(self, stream, ended: asyncio.Task) -> None:
+    async def _send_all(self, stream: Stream, ended: asyncio.Task) -> None:
         """Send what is queued until the peer ends the stream or it breaks."""
         while not ended.done():
             async with asyncio.timeout(IDLE_CLOSE_S):
@@ -114,7 +116,7 @@
 
 
 @asynccontextmanager
-async def open_channel(address: str):
+async def open_channel(address: str) -> AsyncIterator[Channel]:
     """Open a channel to a peer and close it at the end."""
     host, port = split(address)
     channel = Channel(host, port)
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 
 from grpclib import GRPCError, Status
+from grpclib.server import Stream
 from springbridge.codes import Code
 
 from springbridge_node.class_router.peers.messages import Message
@@ -30,7 +31,7 @@
         self._answers = answers
         self._take = take
 
-    async def Talk(self, stream) -> None:  # noqa: N802 - the name is the interface's
+    async def Talk(self, stream: Stream) -> None:  # noqa: N802 - the name is the interface's
         """Take in a peer's messages until it ends the stream."""
         self._authenticate(stream)
         async for envelope in stream:
@@ -38,7 +39,7 @@
                 self._take(message)
         await stream.send_message(peer_pb2.Ended())
 
-    async def Attach(self, stream) -> None:  # noqa: N802 - the name is the interface's
+    async def Attach(self, stream: Stream) -> None:  # noqa: N802 - the name is the interface's
         """Send the answer of a request whose home this node is, from an offset on."""
         self._authenticate(stream)
         request = await stream.recv_message()
@@ -57,7 +58,7 @@
         last = peer_pb2.AttachChunk(offset=answer.offset, last=True, code=int(code), detail=detail)
         await stream.send_message(last)
 
-    def _authenticate(self, stream) -> None:
+    def _authenticate(self, stream: Stream) -> None:
         """End the call unless the caller knows the peers' token."""
         given = stream.metadata.get(TOKEN_KEY, "")
         if not hmac.compare_digest(str(given), self._token):
--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -5,7 +5,7 @@
 """
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
 from returns.result import Failure, Result, Success
@@ -80,8 +80,8 @@
         """Wait for a lease, or fall back to the equal part if the owner does not answer.
 
         Returns:
-          Whether this request asked for it. One that was under way was sized without this request,
-          so the caller tries once more.
+          Whether this request asked for the lease. One that others had asked for was sized without
+          it, so this request has to try once more.
         """
         answer = self._answers.get(key)
         asks = answer is None
@@ -153,7 +153,7 @@
 
 
 @contextmanager
-def finishing(limit: NodeLimit):
+def finishing(limit: NodeLimit) -> Iterator[None]:
     """Give the request's place under the limit back at the end."""
     try:
         yield
