--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -51,7 +51,7 @@
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 from springbridge_node.class_router.requests.runner import Runner
 from springbridge_node.class_router.requests.slot_attempt import AttemptPorts
-from springbridge_node.class_router.serve_settings import Settings, split
+from springbridge_node.class_router.serve_settings import Policy, Settings, split
 from springbridge_node.periodic import every
 
 # Interval of reading the platform's list of instances. It only seeds the membership, which gossip
@@ -251,7 +251,7 @@
             every(LIST_POLL_S, self._read_list),
             housekeeping.run(),
         ]
-        if self.settings.policy == "least-load":
+        if self.settings.policy == Policy.LEAST_LOAD:
             running.append(self.load_reports.run())
         self._tasks = [asyncio.ensure_future(one) for one in running]
 
--- a/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/config_sync.py
@@ -26,8 +26,8 @@
 # Interval of reading the platform's version. Bound: one read that times out must not cost the 3 s
 # of freshness (1 s + 0.8 s + 1 s). At the planned size 380 nodes make 380 reads a second.
 POLL_S = 1.0
-# Shortest time between two requests to peers for missing changes. Digests arrive more often than a
-# pull is answered. Not measured.
+# Shortest time between two requests to peers for missing changes, since the next digest may come
+# before the answer. Not measured.
 PULL_INTERVAL_S = POLL_S / 4
 # Changes kept for peers that lag, and the most that are read singly before all rows are read anew.
 # Not measured; a little over an hour's changes at 4,200 a day.
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
@@ -5,12 +5,13 @@
 from springbridge.classes.slots.slots import ScheduledSlots
 
 from springbridge_node.class_router.endpoints.load_reports import LoadReports
+from springbridge_node.class_router.serve_settings import Policy
 
 
 def slot_source(policy: str, scheduled: ScheduledSlots, reports: LoadReports) -> SlotSource:
     """Return the source of slots for a policy; the two baselines are for comparison."""
-    if policy == "round-robin":
+    if policy == Policy.ROUND_ROBIN:
         return RoundRobinSlots()
-    if policy == "least-load":
+    if policy == Policy.LEAST_LOAD:
         return LeastLoadSlots(reports.load)
     return scheduled
--- a/packages/springbridge-node/springbridge_node/class_router/main.py
+++ b/packages/springbridge-node/springbridge_node/class_router/main.py
@@ -9,7 +9,7 @@
 import typer
 from springbridge import __version__
 
-from springbridge_node.class_router.serve_settings import POLICIES, Settings, check
+from springbridge_node.class_router.serve_settings import POLICIES, Policy, Settings, check
 
 app = typer.Typer(
     help="Node of springbridge, a router for language-model requests.",
@@ -77,7 +77,7 @@
     peer_token: Annotated[str, PEER_TOKEN],
     operator_token: Annotated[str, OPERATOR_TOKEN],
     statsd_address: Annotated[str, STATSD_ADDRESS] = "",
-    policy: Annotated[str, POLICY] = "springbridge",
+    policy: Annotated[str, POLICY] = Policy.SPRINGBRIDGE.value,
     max_body_bytes: Annotated[int, MAX_BODY_BYTES] = DEFAULT_MAX_BODY_BYTES,
     body_timeout_s: Annotated[float, BODY_TIMEOUT_S] = DEFAULT_BODY_TIMEOUT_S,
     keep_addresses_s: Annotated[float, KEEP_ADDRESSES_S] = DEFAULT_KEEP_ADDRESSES_S,
--- a/packages/springbridge-node/springbridge_node/class_router/requests/progress.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/progress.py
@@ -12,8 +12,7 @@
 # Shortest silence that counts as a stall, so that a short pause of an endpoint with tight targets
 # does not end its streams. Not measured.
 SHORTEST_STALL_S = 2.0
-# The same in latency targets for the first token. Not measured; twice leaves room for a long
-# prompt.
+# The same in latency targets for the first token. Not measured.
 FIRST_TOKEN_TARGETS = 2
 # Silence that counts as a stall at a plain service. It sends nothing before its whole answer, so
 # this is the longest wait for one. Not measured.
--- a/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
+++ b/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
@@ -2,6 +2,7 @@
 
 import re
 from dataclasses import dataclass
+from enum import StrEnum
 
 from springbridge.classes.table.rows import NAME
 from springbridge.codes import Code
@@ -10,10 +11,19 @@
 ADDRESS = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:(\d{1,5})\Z")
 # Fewest characters of a secret. Not measured; chosen as too long to be guessed over the network.
 SHORTEST_TOKEN = 16
-# Smallest limit of a body in bytes; below it no chat completion fits. Not measured.
+# Smallest limit of a body that can be set, in bytes. Not measured.
 SMALLEST_BODY_LIMIT_BYTES = 1024
-# How endpoints are chosen: by their schedulers, or by one of two baselines for comparison.
-POLICIES = ("springbridge", "round-robin", "least-load")
+
+
+class Policy(StrEnum):
+    """How endpoints are chosen: by their schedulers, or by one of two baselines for comparison."""
+
+    SPRINGBRIDGE = "springbridge"
+    ROUND_ROBIN = "round-robin"
+    LEAST_LOAD = "least-load"
+
+
+POLICIES = tuple(Policy)
 
 
 @dataclass(frozen=True)
