--- a/packages/springbridge-node/springbridge_node/class_router/config/table_store.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/table_store.py
@@ -88,7 +88,11 @@
                 return Failure(problem)
 
     async def commit(self, change: Change) -> Result[None, Problem]:
-        """Write rows, version and audit record in one transaction on the version before."""
+        """Write rows, version and audit record in one transaction.
+
+        It is conditional on the version before and on the change id being new, so it takes effect
+        once at most. Returns MOVED_ON if another change came first.
+        """
         match await self._row(VERSION):
             case Failure(problem):
                 return Failure(problem)
@@ -105,7 +109,7 @@
                 return await self._settle(change)
 
     async def claim(self, request_id: str, node: str) -> Result[str, Problem]:
-        """Return the node that has the claim on an id without a home: the first to ask."""
+        """Return the node that claimed an id without a home first; this one, if none did before."""
         key = CLAIMS + request_id
         match await self._transact({key: 0}, {key: node}):
             case Success(True):
@@ -117,8 +121,8 @@
     async def take_lease(self, endpoint: str, holder: str) -> Result[OrderLease, Problem]:
         """Take or renew the lease for orders to an endpoint.
 
-        The epoch grows with each change of holder. The lease is counted from before the write, and
-        a write whose reply was lost counts as not taken: it ends by itself.
+        The epoch grows with each change of holder. The lease counts from before the write. If the
+        reply is lost, the lease counts as not taken; should it be, it ends by itself.
         """
         key = LEASES + endpoint
         match await self._row(key):
@@ -142,15 +146,15 @@
                 return Failure(problem)
 
     async def _conflict_or_done(self, change: Change) -> Result[None, Problem]:
-        """Tell a change that was accepted before from one that came too late."""
+        """Return success for a change accepted before, MOVED_ON for one that is too late."""
         found = await self.find_change(change.change_id)
         return found.bind(_accepted_or_conflict)
 
     async def _settle(self, change: Change) -> Result[None, Problem]:
         """Find out by reading whether a transaction whose reply was lost took effect.
 
-        Not found is no proof that it will not still take effect, so a change that cannot be read
-        back is settled by closing its version to it: only a later version rules it out.
+        A change that is not found may still take effect late. Only a version as high as its own
+        rules that out, since its write is conditional on the version before.
         """
         for _ in range(SETTLE_TRIES):
             await asyncio.sleep(SETTLE_PAUSE_S)
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/model_client.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/model_client.py
@@ -129,7 +129,10 @@
         return OrderReply(response.code == 200, response.body.decode(errors="replace"))
 
     async def _stream(self, request: HTTPRequest) -> AsyncIterator[Chunk]:
-        """Send a request and yield the chunks of its answer."""
+        """Send a request and yield the chunks of its answer.
+
+        When the reader goes away, the next piece that arrives closes the connection (_Events.feed).
+        """
         events = _Events()
         request.streaming_callback = events.feed
         request.connect_timeout = CONNECT_TIMEOUT_S
