--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/model_client.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/model_client.py
@@ -20,7 +20,8 @@
     url_of,
 )
 
-# Longest stream. The HTTP client needs some bound; the runner ends a silent stream far earlier.
+# Longest stream, since the HTTP client needs some bound. The runner gives a silent stream up far
+# earlier, but its connection stays open until the engine sends something or this time is over.
 LONGEST_ANSWER_S = 4 * 3600.0
 # Longest wait for what an endpoint answers at once: cancellations, load reports, orders. Not
 # measured.
@@ -129,7 +130,10 @@
         return OrderReply(response.code == 200, response.body.decode(errors="replace"))
 
     async def _stream(self, request: HTTPRequest) -> AsyncIterator[Chunk]:
-        """Send a request and yield the chunks of its answer."""
+        """Send a request and yield the chunks of its answer.
+
+        When the reader goes away, the next piece that arrives closes the connection (_Events.feed).
+        """
         events = _Events()
         request.streaming_callback = events.feed
         request.connect_timeout = CONNECT_TIMEOUT_S
