--- a/packages/springbridge-node/springbridge_node/class_router/callers_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers_test.py
@@ -7,7 +7,7 @@
 import pytest
 from springbridge.codes import INFO, Code
 from springbridge_standins.class_router.caller import until
-from springbridge_standins.class_router.engine_stream import answer_tag, answer_text
+from springbridge_standins.class_router.engine import answer_tag, answer_text
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, Is, Not
 from tornado.httpclient import HTTPRequest
--- a/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
@@ -6,8 +6,8 @@
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 from springbridge_standins.class_router.caller import until
-from springbridge_standins.class_router.relay import running_relay
 from springbridge_standins.free_addresses import free_address
+from springbridge_standins.proxy import running_relay
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, Is
 
--- a/packages/springbridge-standins/springbridge_standins/capacity/fit.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/fit.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from time import process_time
 
+# Repeats of each size, of which the median counts.
 REPEATS = 5
 MICROSECOND = 1e-6
 
--- a/packages/springbridge-standins/springbridge_standins/class_router/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/caller.py
@@ -1,19 +1,23 @@
-"""A caller as tests and measurements use it: asks for addresses, sends requests, checks answers."""
+"""A caller as tests and the soak use it: asks for addresses, sends requests, checks answers."""
 
 import asyncio
 import secrets
-from dataclasses import dataclass, field
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from time import monotonic
 
 import orjson
 from springbridge.codes import Code
-from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
-from springbridge_standins.class_router.engine_stream import answer_tag, answer_text
+from springbridge_standins.class_router.engine import answer_tag, answer_text
+from springbridge_standins.http_wire import RawAnswer, fetch
 
+# Longer than any answer of a test; the nodes' own deadlines have to end a request.
 REQUEST_TIMEOUT_S = 600.0
+# A node that gives no addresses within this is passed over for another.
 ADDRESS_TIMEOUT_S = 2.0
-MAX_CLIENTS = 4000
+DATA = b"data: "
+DONE = b"data: [DONE]"
 
 
 @dataclass(frozen=True)
@@ -35,189 +39,142 @@
 
     Attributes:
       code: The result code; None where the connection broke without one.
+      fate: What the answer says of the call's execution, such as "not run".
       whole: Whether the answer is complete and belongs to the call.
-      first_s: Time to the first token; 0 if none came.
-      between_s: Mean time between tokens; 0 if fewer than two events came.
-      received: Tokens that came.
+      total_s: Time to the end.
+      retry_after_s: When to come back; 0 if nothing was said.
     """
 
     code: Code | None = None
     fate: str = ""
     whole: bool = False
-    first_s: float = 0.0
-    between_s: float = 0.0
     total_s: float = 0.0
-    received: int = 0
     retry_after_s: float = 0.0
     text: str = ""
 
+    def note_error(self, error: dict) -> None:
+        """Take over what an error says."""
+        self.code = Code(error["code"])
+        self.fate = error["fate"]
+        self.retry_after_s = error["retry_after_s"] or 0.0
+
 
 @dataclass(frozen=True)
 class Address:
-    """An address that the system told a caller."""
+    """An address that a node gives callers."""
 
     address: str
     failure_domain: str
     id_prefix: str
 
 
-@dataclass
-class _Reading:
-    """A streamed answer as it arrives."""
-
-    started_s: float
-    reply: Reply = field(default_factory=Reply)
-    last_s: float = 0.0
-    events: int = 0
-    done: bool = False
-    rest: bytes = b""
-
-    def feed(self, data: bytes) -> None:
-        """Take in a piece of the body."""
-        lines = (self.rest + data).split(b"\n")
-        self.rest = lines.pop()
-        for line in lines:
-            if line == b"data: [DONE]":
-                self.done = True
-            elif line.startswith(b"data: "):
-                self._event(orjson.loads(line[6:]))
-
-    def _event(self, event: dict) -> None:
-        reply = self.reply
-        if "error" in event:
-            _note_error(reply, event["error"])
-            return
-        now_s = monotonic()
-        if not self.events:
-            reply.first_s = now_s - self.started_s
-        self.events += 1
-        self.last_s = now_s
-        reply.text += event["choices"][0]["delta"]["content"]
-        reply.received += event["tokens"]
-        if reply.received > 1:
-            spent_s = self.last_s - self.started_s - reply.first_s
-            reply.between_s = spent_s / (reply.received - 1)
-
-
-def _note_error(reply: Reply, error: dict) -> None:
-    reply.code = Code(error["code"])
-    reply.fate = error["fate"]
-    reply.retry_after_s = error["retry_after_s"] or 0.0
-
-
 class Caller:
     """Sends calls and judges their answers."""
 
-    def __init__(self) -> None:
-        """Open a client."""
-        self._client = AsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
-
     async def addresses(self, node: str, key: str, request_class: str) -> list[Address]:
-        """Return the addresses that a node tells for a class; none if it does not answer."""
-        request = HTTPRequest(
-            f"http://{node}/v1/addresses?class={request_class}",
-            headers={"Authorization": f"Bearer {key}"},
-            request_timeout=ADDRESS_TIMEOUT_S,
-            connect_timeout=ADDRESS_TIMEOUT_S,
-        )
+        """Return the addresses that a node gives for a class; none if it does not answer."""
+        path = f"/v1/addresses?class={request_class}"
+        bearer = f"Bearer {key}"
         try:
-            response = await self._client.fetch(request)
-        except Exception:
+            got = await fetch(node, "GET", path, timeout_s=ADDRESS_TIMEOUT_S, Authorization=bearer)
+        except OSError:
+            return []
+        if got.status != 200 or not got.whole:
             return []
-        found = orjson.loads(response.body)["addresses"]
+        found = orjson.loads(got.body)["addresses"]
         return [Address(one["address"], one["place"], one["id_prefix"]) for one in found]
 
     async def send(self, address: str, call: Call) -> Reply:
         """Send a call to a node and return how it ended."""
-        if call.service:
-            return await self._send_service(address, call)
-        reading = _Reading(monotonic())
-        body = {
-            "messages": [{"role": "user", "content": call.prompt}],
-            "max_tokens": call.tokens,
-            "stream": True,
+        started_s = monotonic()
+        path, body = _asked(call)
+        headers = {
+            "Authorization": f"Bearer {call.key}",
+            "Springbridge_Class": call.request_class,
+            "Springbridge_Request_Id": call.request_id,
+            "Springbridge_Affinity": call.affinity,
         }
-        request = self._request(address, "/v1/chat/completions", call, body)
-        request.streaming_callback = reading.feed
-        await self._fetch(request, reading)
-        reply = reading.reply
-        reply.total_s = monotonic() - reading.started_s
-        wanted = answer_text(answer_tag(call.prompt), 0, call.tokens)
-        reply.whole = reading.done and reply.text == wanted
-        if reading.done and reply.code is None:
-            reply.code = Code.OK
-        return reply
-
-    async def _fetch(self, request: HTTPRequest, reading: _Reading) -> None:
-        try:
-            response = await self._client.fetch(request, raise_error=False)
-        except Exception:
-            return
-        if response.code != 200 and reading.rest:
-            _read_error(reading.reply, reading.rest)
-
-    async def _send_service(self, address: str, call: Call) -> Reply:
         reply = Reply()
-        started_s = monotonic()
-        path = f"/v1/services/{call.service}/run"
-        request = self._request(address, path, call, {"prompt": call.prompt})
         try:
-            response = await self._client.fetch(request, raise_error=False)
-        except Exception:
+            raw = orjson.dumps(body)
+            got = await fetch(address, "POST", path, raw, REQUEST_TIMEOUT_S, **headers)
+        except OSError:
             return reply
-        reply.total_s = reply.first_s = monotonic() - started_s
-        if response.code == 200:
-            reply.code = Code.OK
-            answer = orjson.loads(response.body)
-            reply.whole = answer["request"]["prompt"] == call.prompt
-        elif response.body:
-            _read_error(reply, response.body)
+        if got.status != 200:
+            _read_error(reply, got)
+        elif call.service:
+            _read_service(reply, got, call)
+        else:
+            _read_stream(reply, got, call)
+        reply.total_s = monotonic() - started_s
         return reply
 
-    def _request(self, address: str, path: str, call: Call, body: dict) -> HTTPRequest:
-        headers = {
-            "Authorization": f"Bearer {call.key}",
-            "Springbridge-Class": call.request_class,
-        }
-        if call.request_id:
-            headers["Springbridge-Request-Id"] = call.request_id
-        if call.affinity:
-            headers["Springbridge-Affinity"] = call.affinity
-        return HTTPRequest(
-            f"http://{address}{path}",
-            method="POST",
-            headers=headers,
-            body=orjson.dumps(body),
-            connect_timeout=ADDRESS_TIMEOUT_S,
-            request_timeout=REQUEST_TIMEOUT_S,
-        )
-
-
-def _read_error(reply: Reply, body: bytes) -> None:
+
+def _asked(call: Call) -> tuple[str, dict]:
+    """Return the path and the body of a call."""
+    if call.service:
+        return f"/v1/services/{call.service}/run", {"prompt": call.prompt}
+    messages = [{"role": "user", "content": call.prompt}]
+    body = {"messages": messages, "max_tokens": call.tokens, "stream": True}
+    return "/v1/chat/completions", body
+
+
+def _read_error(reply: Reply, got: RawAnswer) -> None:
+    """Take over the error of an answer; one that is cut or has none leaves the reply empty."""
     try:
-        _note_error(reply, orjson.loads(body)["error"])
+        reply.note_error(orjson.loads(got.body)["error"])
     except (ValueError, KeyError):
         return
 
 
+def _read_service(reply: Reply, got: RawAnswer, call: Call) -> None:
+    """Take over a service's answer."""
+    if got.whole:
+        reply.code = Code.OK
+        reply.whole = orjson.loads(got.body)["request"]["prompt"] == call.prompt
+
+
+def _read_stream(reply: Reply, got: RawAnswer, call: Call) -> None:
+    """Take over the events of a stream; what follows the last whole line is no event."""
+    lines = got.body.split(b"\n")[:-1]
+    for line in lines:
+        if line.startswith(DATA) and line != DONE:
+            event = orjson.loads(line.removeprefix(DATA))
+            if "error" in event:
+                reply.note_error(event["error"])
+            else:
+                reply.text += event["choices"][0]["delta"]["content"]
+    done = DONE in lines
+    reply.whole = done and reply.text == answer_text(answer_tag(call.prompt), 0, call.tokens)
+    if done and reply.code is None:
+        reply.code = Code.OK
+
+
 def new_id(address: Address) -> str:
     """Return a request id whose home is the node at an address."""
     return address.id_prefix + secrets.token_hex(6)
 
 
-async def control(client: AsyncHTTPClient, address: str, path: str, body: object = None) -> dict:
-    """Read from a stand-in or switch its faults."""
-    request = HTTPRequest(
-        f"http://{address}{path}",
-        method="GET" if body is None else "POST",
-        body=None if body is None else orjson.dumps(body),
-        request_timeout=5.0,
-    )
-    response = await client.fetch(request)
-    return orjson.loads(response.body) if response.body else {}
+async def control(address: str, path: str, body: object = None) -> dict:
+    """Read from a stand-in or switch its faults.
+
+    Raises:
+      OSError: The stand-in is down.
+      RuntimeError: It is up and does not do what is asked.
+    """
+    method, raw = ("GET", b"") if body is None else ("POST", orjson.dumps(body))
+    try:
+        got = await fetch(address, method, path, raw)
+    except TimeoutError as exc:
+        raise RuntimeError(f"{address} does not answer on {path}") from exc
+    if got.status != 200:
+        raise RuntimeError(f"{address} answers {path} with {got.status}")
+    return orjson.loads(got.body)
 
 
-async def until(condition, timeout_s: float, pause_s: float = 0.05) -> bool:
+async def until(
+    condition: Callable[[], Awaitable[bool]], timeout_s: float, pause_s: float = 0.05
+) -> bool:
     """Wait until an asynchronous condition holds; return whether it did in time."""
     end_s = monotonic() + timeout_s
     while monotonic() < end_s:
--- a/packages/springbridge-standins/springbridge_standins/class_router/demo.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/demo.py
@@ -13,8 +13,11 @@
 from springbridge_standins.class_router.caller import Call, Reply, new_id
 from springbridge_standins.class_router.world import World, running_world
 
+# Nodes of each fleet; three is the least with a majority when one is gone.
 NODES = 3
+# Example tables, and the customer in whose name each is asked.
 FLEETS = {"findwell.csv": "perth-airport", "archive.csv": "land-registry"}
+# Length of each answer, short enough for a second.
 TOKENS = 24
 
 
@@ -43,7 +46,7 @@
         shown = reply.text[:40] if reply.text else "(a service's answer)"
         print(
             f"{name:22} {cells['tier']:9} {reply.code!s:4} whole={reply.whole} "
-            f"first {reply.first_s * 1000:6.1f} ms  {shown}"
+            f"after {reply.total_s * 1000:6.1f} ms  {shown}"
         )
     return good
 
--- a/packages/springbridge-standins/springbridge_standins/class_router/serve.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/serve.py
@@ -7,6 +7,7 @@
 import typer
 
 from springbridge_standins.class_router.engine import ModelEngine
+from springbridge_standins.class_router.json_standin import JsonStandIn
 from springbridge_standins.class_router.service import PlainService
 from springbridge_standins.class_router.table_service import Platform
 
@@ -19,25 +20,25 @@
     SERVICE = "service"
     PLATFORM = "platform"
 
+    def make(self, address: str) -> JsonStandIn:
+        """Return a stand-in of this kind."""
+        if self is Kind.SERVICE:
+            return PlainService(address)
+        if self is Kind.PLATFORM:
+            return Platform(address)
+        return ModelEngine(address, checks_tokens=self is Kind.ENGINE)
+
 
 def main(
     kind: Annotated[Kind, typer.Argument(help="What to stand in for.")],
     addresses: Annotated[list[str], typer.Argument(help="IP number:port of each one.")],
 ) -> None:
     """Run stand-ins until stopped."""
-    asyncio.run(_run(kind, addresses))
-
-
-async def _run(kind: Kind, addresses: list[str]) -> None:
-    await asyncio.gather(*(_make(kind, address).run() for address in addresses))
 
+    async def run() -> None:
+        await asyncio.gather(*(kind.make(address).run() for address in addresses))
 
-def _make(kind: Kind, address: str) -> ModelEngine | PlainService | Platform:
-    if kind is Kind.SERVICE:
-        return PlainService(address)
-    if kind is Kind.PLATFORM:
-        return Platform(address)
-    return ModelEngine(address, checks_tokens=kind is Kind.ENGINE)
+    asyncio.run(run())
 
 
 if __name__ == "__main__":
--- a/packages/springbridge-standins/springbridge_standins/class_router/service.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/service.py
@@ -2,16 +2,15 @@
 
 import asyncio
 from collections import Counter
+from dataclasses import dataclass
 
-import orjson
-from tornado.httpserver import HTTPServer
-from tornado.web import Application, RequestHandler
+from springbridge_standins.class_router.json_standin import JsonStandIn, send_json
+from springbridge_standins.http_wire import Connection, RawRequest
 
-ID_HEADER = "Request-Id"
 
-
-class PlainService:
-    """One service.
+@dataclass
+class ServiceFaults:
+    """Switchable faults.
 
     Attributes:
       delay_s: Time that a call takes.
@@ -19,70 +18,32 @@
       cut: Whether calls run but their reply is lost.
     """
 
-    def __init__(self, address: str):
-        """Start with nothing counted; address is IP number:port."""
-        self.address = address
-        self.executions: Counter[str] = Counter()
-        self.delay_s = 0.05
-        self.refuse = False
-        self.cut = False
-
-    async def run(self) -> None:
-        """Serve until cancelled."""
-        host, _, port = self.address.rpartition(":")
-        args = {"service": self}
-        application = Application(
-            [
-                (r"/faults", FaultHandler, args),
-                (r"/counters", CounterHandler, args),
-                (r"/.*", CallHandler, args),
-            ],
-            log_function=lambda handler: None,
-        )
-        HTTPServer(application).listen(int(port), host)
-        await asyncio.Event().wait()
+    delay_s: float = 0.05
+    refuse: bool = False
+    cut: bool = False
 
 
-class ServiceHandler(RequestHandler):
-    """What all handlers share."""
-
-    def initialize(self, service: PlainService) -> None:
-        """Keep the service."""
-        self.service = service
+class PlainService(JsonStandIn):
+    """One service."""
 
+    def __init__(self, address: str) -> None:
+        """Start with nothing counted; address is IP number:port."""
+        super().__init__(address, ServiceFaults(), {"/.*": self._call})
+        self.executions: Counter[str] = Counter()
 
-class CallHandler(ServiceHandler):
-    """Runs calls."""
+    def counters(self) -> dict:
+        """Return how often each request ran."""
+        return {"started": self.executions}
 
-    async def post(self) -> None:
+    async def _call(self, request: RawRequest, connection: Connection) -> None:
         """Run a call and answer with its id and body."""
-        if self.service.refuse:
-            self.set_status(503)
-            self.set_header("Engine-Admitted", "no")
+        if self.faults.refuse:
+            await send_json(connection, {}, 503, Engine_Admitted="no")
             return
-        request_id = self.request.headers[ID_HEADER]
-        self.service.executions[request_id] += 1
-        await asyncio.sleep(self.service.delay_s)
-        if self.service.cut:
-            self.request.connection.stream.close()
+        self.executions[request.request_id] += 1
+        await asyncio.sleep(self.faults.delay_s)
+        if self.faults.cut:
+            connection.close()
             return
-        self.set_header(ID_HEADER, request_id)
-        body = orjson.loads(self.request.body)
-        self.finish({"done": self.request.path, "request": body})
-
-
-class FaultHandler(ServiceHandler):
-    """Switches faults."""
-
-    def post(self) -> None:
-        """Set the attributes that are named."""
-        for name, value in orjson.loads(self.request.body).items():
-            setattr(self.service, name, value)
-
-
-class CounterHandler(ServiceHandler):
-    """Shows how often each request ran."""
-
-    def get(self) -> None:
-        """Answer with the counts."""
-        self.finish({"started": self.service.executions})
+        answer = {"done": request.path, "request": request.json()}
+        await send_json(connection, answer, Request_Id=request.request_id)
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/faults.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/faults.py
@@ -1,6 +1,7 @@
 """The faults that a soak draws."""
 
 import asyncio
+import contextlib
 from collections.abc import Awaitable, Callable
 
 from springbridge_standins.class_router.soak.state import Soak
@@ -50,80 +51,56 @@
         relay.mend()
 
 
-async def table_out(soak: Soak, seconds: float) -> None:
-    """Take the platform's table away from everybody."""
-    await soak.world.fault(soak.world.platform, out=True)
-    await asyncio.sleep(2 * seconds)
-    await soak.world.fault(soak.world.platform, out=False)
+def _platform(on: dict, off: dict, times: float = 1.0) -> Fault:
+    """Return a fault of the platform; one that ends by itself needs nothing to switch it off."""
 
+    async def play(soak: Soak, seconds: float) -> None:
+        await soak.world.fault(soak.world.platform, **on)
+        await asyncio.sleep(times * seconds)
+        if off:
+            await soak.world.fault(soak.world.platform, **off)
 
-async def table_slow(soak: Soak, seconds: float) -> None:
-    """Slow the platform's table down."""
-    await soak.world.fault(soak.world.platform, slow_s=0.5)
-    await asyncio.sleep(seconds)
-    await soak.world.fault(soak.world.platform, slow_s=0.0)
+    return play
 
 
-async def lost_replies(soak: Soak, seconds: float) -> None:
-    """Lose the replies of the next writes."""
-    await soak.world.fault(soak.world.platform, lose_replies=2)
-    await asyncio.sleep(seconds)
+def _engine(on: dict, off: dict) -> Fault:
+    """Return a fault of one engine."""
+    return lambda soak, seconds: _fault_engine(soak, seconds, on, off)
 
 
-async def late_write(soak: Soak, seconds: float) -> None:
-    """Let the next write take effect after its writer has given up."""
-    await soak.world.fault(soak.world.platform, late_writes=1)
-    await asyncio.sleep(seconds)
+async def garbling_engine(soak: Soak, seconds: float) -> None:
+    """Let an engine spoil its streams."""
+    kind = soak.rng.choice(["gap", "foreign", "repeat", "cut"])
+    await _fault_engine(soak, seconds, {"garble": kind}, {"garble": ""})
 
 
-async def _engine_fault(soak: Soak, seconds: float, on: dict, off: dict) -> None:
+async def crashed_engine(soak: Soak, seconds: float) -> None:
+    """Crash an engine, which comes back empty."""
+    await _fault_engine(soak, seconds + 1.0, {"crash": seconds}, {})
+
+
+async def _fault_engine(soak: Soak, seconds: float, on: dict, off: dict) -> None:
+    """Switch a fault of an engine on and off; one that has crashed can't be switched."""
     cells = soak.rng.choice(list(soak.world.endpoints("model").values()))
-    try:
+    with contextlib.suppress(OSError):
         await soak.world.fault(cells["address"], **on)
         await asyncio.sleep(seconds)
         await soak.world.fault(cells["address"], **off)
-    except OSError:
-        return
-
 
-async def slow_engine(soak: Soak, seconds: float) -> None:
-    """Slow an engine to a fifth."""
-    await _engine_fault(soak, seconds, {"slow": 5.0}, {"slow": 1.0})
 
-
-async def frozen_engine(soak: Soak, seconds: float) -> None:
-    """Freeze an engine."""
-    await _engine_fault(soak, seconds, {"frozen": True}, {"frozen": False})
-
-
-async def refusing_engine(soak: Soak, seconds: float) -> None:
-    """Let an engine turn everything away."""
-    await _engine_fault(soak, seconds, {"refuse": True}, {"refuse": False})
-
-
-async def garbling_engine(soak: Soak, seconds: float) -> None:
-    """Let an engine spoil its streams."""
-    kind = soak.rng.choice(["gap", "foreign", "repeat", "cut"])
-    await _engine_fault(soak, seconds, {"garble": kind}, {"garble": ""})
-
-
-async def crashed_engine(soak: Soak, seconds: float) -> None:
-    """Crash an engine, which comes back empty."""
-    await _engine_fault(soak, seconds + 1.0, {"crash": seconds}, {})
-
-
-FAULTS: tuple[Fault, ...] = (
-    kill,
-    freeze,
-    replace,
-    cut_from_table,
-    table_out,
-    table_slow,
-    lost_replies,
-    late_write,
-    slow_engine,
-    frozen_engine,
-    refusing_engine,
-    garbling_engine,
-    crashed_engine,
+# The order is part of what a seed means.
+FAULTS: tuple[tuple[str, Fault], ...] = (
+    ("kill", kill),
+    ("freeze", freeze),
+    ("replace", replace),
+    ("cut_from_table", cut_from_table),
+    ("table_out", _platform({"out": True}, {"out": False}, times=2.0)),
+    ("table_slow", _platform({"slow_s": 0.5}, {"slow_s": 0.0})),
+    ("lost_replies", _platform({"lose_replies": 2}, {})),
+    ("late_write", _platform({"late_writes": 1}, {})),
+    ("slow_engine", _engine({"slow": 5.0}, {"slow": 1.0})),
+    ("frozen_engine", _engine({"frozen": True}, {"frozen": False})),
+    ("refusing_engine", _engine({"refuse": True}, {"refuse": False})),
+    ("garbling_engine", garbling_engine),
+    ("crashed_engine", crashed_engine),
 )
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/soak.py
@@ -2,8 +2,8 @@
 
 Nodes and stand-ins run as processes under mixed load while faults are drawn at random, up to two at
 a time. Invariants are asserted inside the nodes, which stop at a violation; after the run this
-program checks what only the whole shows. It prints seed, faults and verdict and exits 1 on any
-violation.
+program checks what no single node can see. It prints violations, faults and results, and exits 1
+on any violation.
 """
 
 import asyncio
@@ -20,39 +20,42 @@
 from springbridge.codes import Code
 
 from springbridge_standins.class_router.soak.faults import FAULTS
-from springbridge_standins.class_router.soak.load import Load, customers_of, fleet_streams
+from springbridge_standins.class_router.soak.load import Load
 from springbridge_standins.class_router.soak.state import NODES, Soak
-from springbridge_standins.class_router.world import (
-    NO_REPLY,
-    running_world,
-)
+from springbridge_standins.class_router.world import NO_REPLY, running_world
+from springbridge_standins.soak_report import print_report
 
-LOAD_SCALE = 0.6
-RESENDS = 8
+# Not measured; chosen so that faults of the last moments are mended before the verdict.
 SETTLE_S = 10.0
+# Longer than the longest answer takes on a slow engine.
 DRAIN_S = 150.0
+# How often the versions and invariants of all nodes are looked at.
 WATCH_S = 0.3
+# Shortest and longest pause before a fault; two series run side by side.
 QUIET_S = (0.5, 3.0)
+# Shortest and longest fault: from less than the time to suspicion of a node to well beyond it.
 FAULT_S = (1.0, 6.0)
-EDIT_PAUSE_S = 2.0
-MOST_LISTED = 10
+# Shortest and longest pause of an operator between two edits.
+EDIT_PAUSE_S = (0.2, 2.0)
+# Rows that both operators edit; few, so that their edits collide.
+RACED_ROWS = 3
 
 
 async def draw_faults(soak: Soak, end_s: float) -> None:
     """Draw one fault after another until the time is over; two of these run side by side."""
     while monotonic() < end_s:
         await asyncio.sleep(soak.rng.uniform(*QUIET_S))
-        fault = soak.rng.choice(FAULTS)
-        soak.drawn[fault.__name__] += 1
+        name, fault = soak.rng.choice(FAULTS)
+        soak.counts[f"fault {name}"] += 1
         await fault(soak, soak.rng.uniform(*FAULT_S))
 
 
 async def race_edits(soak: Soak, end_s: float) -> None:
     """Let two operators edit the same few rows through any nodes."""
-    rows = [key for key in sorted(soak.world.rows) if key.startswith("share/")][:3]
+    rows = [key for key in sorted(soak.world.rows) if key.startswith("share/")][:RACED_ROWS]
     known = {row: dict(soak.world.rows[row]) for row in rows}
     while monotonic() < end_s:
-        await asyncio.sleep(soak.rng.uniform(0.2, EDIT_PAUSE_S))
+        await asyncio.sleep(soak.rng.uniform(*EDIT_PAUSE_S))
         nodes = [node for node in soak.world.nodes.values() if node.running and not node.frozen]
         row = soak.rng.choice(rows)
         after = {**known[row], "weight": f"{soak.rng.randrange(1, 90) / 10}"}
@@ -70,7 +73,7 @@
 
 
 async def _look_again(soak: Soak, known: dict, rows: list[str]) -> None:
-    """Read the rows anew, as an operator does after a conflict."""
+    """Read the rows again, as an operator does after a conflict."""
     for node in soak.world.nodes.values():
         if node.running and not node.frozen:
             found = await soak.world.table(node)
@@ -102,7 +105,7 @@
 
 
 async def judge(soak: Soak, load: Load) -> None:
-    """Check what only the whole run shows."""
+    """Check what no single node can see: executions, endings and the audit trail."""
     executions = Counter()
     for cells in soak.world.endpoints().values():
         executions.update((await soak.world.counters(cells["address"]))["started"])
@@ -112,12 +115,12 @@
         if key.startswith("class/") and cells["repeatable"] == "no"
     }
     for record in load.records:
-        for request_id, fate in record.told.items():
+        for request_id, fate in record.fates.items():
             count = executions[request_id]
             if record.request_class in fixed and count > 1:
                 soak.findings.append(f"{request_id} ran {count} times")
             if record.request_class in fixed and fate == "not run" and count:
-                soak.findings.append(f"{request_id} was told not run and ran")
+                soak.findings.append(f"{request_id} was reported not run and ran")
         if record.reply.code is None:
             soak.findings.append(f"{record.request_class} {record.request_id} has no ending")
         if record.reply.code is Code.OK and not record.reply.whole:
@@ -157,11 +160,11 @@
     """Run a soak and judge it; a short one leaves the progress of the classes out."""
     async with running_world("findwell.csv", NODES) as world, AsyncExitStack() as stack:
         soak = Soak(world, random.Random(seed), {}, stack)
-        load = Load(world, customers_of(world), random.Random(seed + 1), resends=RESENDS)
+        load = Load(world, random.Random(seed + 1))
         watcher = asyncio.create_task(watch(soak))
         end_s = monotonic() + seconds
         await asyncio.gather(
-            load.run(fleet_streams("findwell.csv", LOAD_SCALE), seconds),
+            load.run(seconds),
             draw_faults(soak, end_s),
             draw_faults(soak, end_s),
             race_edits(soak, end_s),
@@ -173,9 +176,10 @@
         await judge(soak, load)
         if progress:
             _judge_progress(soak, load)
-        codes = Counter(str(record.reply.code) for record in load.records)
-        print(f"requests {len(load.records)}, codes {dict(codes)}")
-        print(f"edits {soak.edits}, accepted {len(soak.accepted)}, unknown {len(soak.unknown)}")
+        soak.counts.update(f"result {record.reply.code!s}" for record in load.records)
+        soak.counts["edits"] = soak.edits
+        soak.counts["edits accepted"] = len(soak.accepted)
+        soak.counts["edits with unknown outcome"] = len(soak.unknown)
         return soak
 
 
@@ -185,8 +189,5 @@
 ) -> None:
     """Run the soak and exit 1 on any violation."""
     soak = asyncio.run(soak_run(seed, 60 * minutes))
-    print(f"seed {seed}, faults {dict(soak.drawn)}")
-    for finding in soak.findings[:MOST_LISTED]:
-        print(f"VIOLATION {finding}")
-    print(f"verdict: {len(soak.findings)} violations")
+    print_report(f"seed {seed}", soak.findings, soak.counts)
     sys.exit(1 if soak.findings else 0)
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/state.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/state.py
@@ -5,10 +5,11 @@
 from contextlib import AsyncExitStack
 from dataclasses import dataclass, field
 
-from springbridge_standins.class_router.relay import Relay, running_relay
 from springbridge_standins.class_router.world import NodeProcess, World
 from springbridge_standins.free_addresses import free_address
+from springbridge_standins.proxy import LoopbackProxy, running_relay
 
+# Nodes of a soak; with one of them lost the other three are still a majority.
 NODES = 4
 
 
@@ -19,18 +20,19 @@
     Attributes:
       versions: Highest version seen of each incarnation.
       findings: Violations, in words.
+      counts: Faults, results and edits.
     """
 
     world: World
     rng: random.Random
-    relays: dict[str, Relay]
+    relays: dict[str, LoopbackProxy]
     stack: AsyncExitStack
     started: int = NODES
     edits: int = 0
     accepted: list[int] = field(default_factory=list)
     unknown: set[str] = field(default_factory=set)
     versions: dict[str, int] = field(default_factory=dict)
-    drawn: Counter[str] = field(default_factory=Counter)
+    counts: Counter[str] = field(default_factory=Counter)
     findings: list[str] = field(default_factory=list)
     busy: set[str] = field(default_factory=set)
 
--- a/packages/springbridge-standins/springbridge_standins/class_router/table_service.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/table_service.py
@@ -2,16 +2,20 @@
 
 import asyncio
 from collections import deque
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from time import monotonic
 
-import orjson
-from tornado.httpserver import HTTPServer
-from tornado.web import Application, RequestHandler
+from springbridge_standins.class_router.json_standin import JsonStandIn, send_json
+from springbridge_standins.http_wire import Connection, RawRequest
 
+# Rate limit of the table. Not measured; chosen.
 WRITES_PER_S = 100.0
+# Writes at once, half a second's worth. Not measured; chosen.
 WRITE_BURST = 50.0
+# Longer than any timeout of a node for the table.
 LONG_S = 30.0
+# Longer than the 2 s after which a writer gives up.
+LATE_WRITE_S = 3.0
 
 
 @dataclass
@@ -31,43 +35,27 @@
     late_writes: int = 0
 
 
-@dataclass
-class Platform:
+class Platform(JsonStandIn):
     """Rows with versions, and the list of instances that is shown lag_s late."""
 
-    address: str
-    faults: TableFaults = field(default_factory=TableFaults)
-    rows: dict[str, tuple[int, str]] = field(default_factory=dict)
-    lag_s: float = 1.0
-    reads: int = 0
-    writes: int = 0
-    refused_writes: int = 0
-    _versions: int = 0
-    _tokens: float = WRITE_BURST
-    _refilled_s: float = field(default_factory=monotonic)
-    _lists: deque = field(default_factory=deque)
-
-    async def run(self) -> None:
-        """Serve until cancelled."""
-        host, _, port = self.address.rpartition(":")
-        args = {"platform": self}
-        application = Application(
-            [
-                (r"/row", RowHandler, args),
-                (r"/scan", ScanHandler, args),
-                (r"/transact", TransactHandler, args),
-                (r"/instances", InstancesHandler, args),
-                (r"/faults", FaultHandler, args),
-                (r"/counters", CounterHandler, args),
-            ],
-            log_function=lambda handler: None,
-        )
-        HTTPServer(application).listen(int(port), host)
-        await asyncio.Event().wait()
+    def __init__(self, address: str, lag_s: float = 1.0) -> None:
+        """Start without rows; address is IP number:port."""
+        routes = {
+            "/row": self._row,
+            "/scan": self._scan,
+            "/transact": self._transact,
+            "/instances": self._instances,
+        }
+        super().__init__(address, TableFaults(), routes)
+        self.rows: dict[str, tuple[int, str]] = {}
+        self.lag_s = lag_s
+        self._versions = 0
+        self._tokens = WRITE_BURST
+        self._refilled_s = monotonic()
+        self._lists: deque[tuple[float, list[dict]]] = deque()
 
     def transact(self, conditions: dict[str, int], writes: dict[str, str | None]) -> bool:
         """Apply all writes if all conditions on row versions hold."""
-        self.writes += 1
         for key, version in conditions.items():
             if self.rows.get(key, (0, ""))[0] != version:
                 return False
@@ -79,13 +67,6 @@
                 self.rows[key] = (self._versions, value)
         return True
 
-    def scan(self, prefixes: list[str], start: str, limit: int) -> dict[str, dict]:
-        """Return rows by prefix, ordered by key."""
-        self.reads += 1
-        keys = [key for key in self.rows if key >= start and key.startswith(tuple(prefixes))]
-        found = {key: self.rows[key] for key in sorted(keys)[:limit]}
-        return {key: {"version": row[0], "value": row[1]} for key, row in found.items()}
-
     def may_write(self) -> bool:
         """Take one write from the rate limit."""
         now_s = monotonic()
@@ -93,7 +74,6 @@
         self._tokens = min(WRITE_BURST, grown)
         self._refilled_s = now_s
         if self._tokens < 1:
-            self.refused_writes += 1
             return False
         self._tokens -= 1
         return True
@@ -110,110 +90,54 @@
             return self._lists[0][1]
         return []
 
+    async def _suffer(self, connection: Connection) -> None:
+        """Do what the faults say before an answer."""
+        await asyncio.sleep(self.faults.slow_s)
+        if self.faults.out:
+            await self._lose(connection)
 
-class PlatformHandler(RequestHandler):
-    """What all handlers of the table share: its faults."""
-
-    def initialize(self, platform: Platform) -> None:
-        """Keep the platform."""
-        self.platform = platform
-
-    async def fault(self) -> None:
-        """Do what the faults say before answering."""
-        await asyncio.sleep(self.platform.faults.slow_s)
-        if self.platform.faults.out:
-            await self.lose()
-
-    async def lose(self) -> None:
+    async def _lose(self, connection: Connection) -> None:
         """Never answer, as far as the caller can tell."""
         await asyncio.sleep(LONG_S)
-        self.request.connection.stream.close()
-
-    def read(self) -> dict:
-        """Return the request's JSON."""
-        return orjson.loads(self.request.body)
-
-
-class RowHandler(PlatformHandler):
-    """Reads one row."""
-
-    async def post(self) -> None:
-        """Answer with the row; version 0 stands for none."""
-        await self.fault()
-        self.platform.reads += 1
-        version, value = self.platform.rows.get(self.read()["key"], (0, ""))
-        self.finish({"version": version, "value": value})
-
-
-class ScanHandler(PlatformHandler):
-    """Reads rows by prefix."""
-
-    async def post(self) -> None:
-        """Answer with the rows, in one transaction."""
-        await self.fault()
-        asked = self.read()
-        rows = self.platform.scan(
-            asked["prefixes"], asked.get("start", ""), asked.get("limit", 1_000_000)
-        )
-        self.finish({"rows": rows})
-
-
-class TransactHandler(PlatformHandler):
-    """Writes."""
-
-    async def post(self) -> None:
+        connection.reset()
+        raise ConnectionResetError
+
+    async def _row(self, request: RawRequest, connection: Connection) -> None:
+        """Answer with a row; version 0 stands for none."""
+        await self._suffer(connection)
+        version, value = self.rows.get(request.json()["key"], (0, ""))
+        await send_json(connection, {"version": version, "value": value})
+
+    async def _scan(self, request: RawRequest, connection: Connection) -> None:
+        """Answer with the rows of some prefixes, ordered by key, in one transaction."""
+        await self._suffer(connection)
+        asked = request.json()
+        start, prefixes = asked.get("start", ""), tuple(asked["prefixes"])
+        keys = sorted(key for key in self.rows if key >= start and key.startswith(prefixes))
+        found = {key: self.rows[key] for key in keys[: asked.get("limit")]}
+        rows = {key: {"version": row[0], "value": row[1]} for key, row in found.items()}
+        await send_json(connection, {"rows": rows})
+
+    async def _transact(self, request: RawRequest, connection: Connection) -> None:
         """Apply a transaction, unless the faults or the rate limit are against it."""
-        await self.fault()
-        if not self.platform.may_write():
-            self.set_status(429)
-            return
-        asked = self.read()
-        faults = self.platform.faults
-        if faults.late_writes > 0:
-            faults.late_writes -= 1
-            await asyncio.sleep(3.0)
-            self.platform.transact(asked["conditions"], asked["writes"])
-            await self.lose()
+        await self._suffer(connection)
+        if not self.may_write():
+            await send_json(connection, {}, 429)
             return
-        applied = self.platform.transact(asked["conditions"], asked["writes"])
-        if faults.lose_replies > 0:
-            faults.lose_replies -= 1
-            await self.lose()
-            return
-        self.finish({"applied": applied})
-
-
-class InstancesHandler(PlatformHandler):
-    """Shows the list of instances; the test harness sets it."""
-
-    def get(self) -> None:
-        """Answer with the list, late."""
-        self.finish({"instances": self.platform.instances()})
-
-    def post(self) -> None:
-        """Change the list."""
-        self.platform.set_instances(self.read()["instances"])
-
-
-class FaultHandler(PlatformHandler):
-    """Switches faults."""
-
-    def post(self) -> None:
-        """Switch the faults that are named."""
-        for name, value in self.read().items():
-            setattr(self.platform.faults, name, value)
-
-
-class CounterHandler(PlatformHandler):
-    """Shows how much the platform was used."""
-
-    def get(self) -> None:
-        """Answer with the counters."""
-        platform = self.platform
-        self.finish(
-            {
-                "reads": platform.reads,
-                "writes": platform.writes,
-                "refused_writes": platform.refused_writes,
-            }
-        )
+        asked = request.json()
+        late, lost = self.faults.late_writes > 0, self.faults.lose_replies > 0
+        if late:
+            self.faults.late_writes -= 1
+            await asyncio.sleep(LATE_WRITE_S)
+        applied = self.transact(asked["conditions"], asked["writes"])
+        if lost and not late:
+            self.faults.lose_replies -= 1
+        if late or lost:
+            await self._lose(connection)
+        await send_json(connection, {"applied": applied})
+
+    async def _instances(self, request: RawRequest, connection: Connection) -> None:
+        """Change the list of instances, which the harness does, or show it."""
+        if request.method == "POST":
+            self.set_instances(request.json()["instances"])
+        await send_json(connection, {"instances": self.instances()})
--- a/packages/springbridge-standins/springbridge_standins/class_router/world.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/world.py
@@ -1,4 +1,4 @@
-"""Starts nodes and stand-ins as processes on loopback and stops them, for tests and bench."""
+"""Starts nodes and stand-ins as processes on loopback and stops them, for tests, demo and soak."""
 
 import asyncio
 import os
@@ -14,17 +14,25 @@
 from springbridge.classes.table import sheet
 from springbridge.classes.table.changes import Edit
 from springbridge.classes.table.rows import Cells
-from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
+from tornado.httpclient import AsyncHTTPClient
 
 from springbridge_standins.class_router.caller import Caller, control, until
 from springbridge_standins.free_addresses import free_address, with_free_addresses
+from springbridge_standins.http_wire import RawAnswer, fetch
 
 PEER_TOKEN = "peer-token-for-tests"
 OPERATOR_TOKEN = "operator-token-for-tests"
+# How long nodes may take to agree on a version before a test fails.
 READY_S = 20.0
 # Setting up a world is no verdict, so it may take as long as a crowded machine needs.
 SETUP_S = 120.0
+# Longer than a node's own time for a planned stop.
 STOP_S = 30.0
+# How long an operator waits for the outcome of an edit.
+EDIT_S = 20.0
+# A node that is frozen or gone is passed over after this.
+READ_S = 2.0
+# What an edit returns in place of a version when no answer came.
 NO_REPLY = -1
 FIRST_VERSION = 1
 EXAMPLES = Path(__file__).parents[4] / "examples"
@@ -52,13 +60,12 @@
     """Processes of one run.
 
     Attributes:
-      rows: The table's rows, with the addresses that the stand-ins of this run have.
+      rows: The table's rows, with the addresses of this run's stand-ins.
       logs: Folder with the standard output of each process.
     """
 
     rows: dict[str, Cells]
     logs: Path
-    policy: str
     platform: str
     nodes: dict[str, NodeProcess] = field(default_factory=dict)
     standins: list[asyncio.subprocess.Process] = field(default_factory=list)
@@ -67,7 +74,7 @@
 
     @property
     def failure_domains(self) -> list[str]:
-        """Return the failure domains that the table's engines stand in."""
+        """Return the failure domains of the table's endpoints."""
         return sorted({cells["place"] for cells in self.endpoints().values()})
 
     def endpoints(self, kind: str = "") -> dict[str, Cells]:
@@ -90,7 +97,6 @@
             "list-address": self.platform,
             "peer-token": PEER_TOKEN,
             "operator-token": OPERATOR_TOKEN,
-            "policy": self.policy,
         }
         args = [f"--{flag}={value}" for flag, value in flags.items()]
         command = ["-m", "springbridge_node", "serve", "--abort-on-violation", *args]
@@ -112,13 +118,13 @@
             )
 
     async def publish_list(self, leaving: frozenset[str] = frozenset()) -> None:
-        """Tell the platform's list of instances which nodes there are."""
+        """Write the nodes that run into the platform's list of instances."""
         entries = [
             {"peer_address": node.peer_address, "leaving": node.name in leaving}
             for node in self.nodes.values()
             if node.running
         ]
-        await control(self.client, self.platform, "/instances", {"instances": entries})
+        await control(self.platform, "/instances", {"instances": entries})
 
     async def import_rows(self) -> int:
         """Put the run's rows in force through the first node and return the version."""
@@ -139,21 +145,14 @@
             "strict": False,
             "edits": edits,
         }
-        request = HTTPRequest(
-            f"http://{node.caller_address}/operator/table",
-            method="POST",
-            body=orjson.dumps(body),
-            headers={"Springbridge-Operator-Token": OPERATOR_TOKEN},
-            request_timeout=20.0,
-        )
         try:
-            response = await self.client.fetch(request, raise_error=False)
-        except (OSError, HTTPClientError):
+            got = await self._operate(node, "POST", "/operator/table", orjson.dumps(body), EDIT_S)
+        except OSError:
             return NO_REPLY
-        if not response.body:
+        if not got.body or not got.whole:
             return NO_REPLY
-        answer = orjson.loads(response.body)
-        return answer["version"] if response.code == 200 else -answer["errors"][0]["code"]
+        answer = orjson.loads(got.body)
+        return answer["version"] if got.status == 200 else -answer["errors"][0]["code"]
 
     async def status(self, node: NodeProcess) -> dict:
         """Return a node's state; empty if it does not answer."""
@@ -168,16 +167,18 @@
         return (await self._read(node, "/operator/audit")).get("changes", [])
 
     async def _read(self, node: NodeProcess, path: str) -> dict:
-        request = HTTPRequest(
-            f"http://{node.caller_address}{path}",
-            headers={"Springbridge-Operator-Token": OPERATOR_TOKEN},
-            request_timeout=2.0,
-        )
         try:
-            response = await self.client.fetch(request)
-        except Exception:
+            got = await self._operate(node, "GET", path, b"", READ_S)
+        except OSError:
             return {}
-        return orjson.loads(response.body)
+        return orjson.loads(got.body) if got.status == 200 and got.whole else {}
+
+    async def _operate(
+        self, node: NodeProcess, method: str, path: str, body: bytes, timeout_s: float
+    ) -> RawAnswer:
+        """Ask a node as an operator; raises OSError if it does not answer."""
+        token = {"Springbridge_Operator_Token": OPERATOR_TOKEN}
+        return await fetch(node.caller_address, method, path, body, timeout_s, **token)
 
     async def ready(
         self, nodes: list[NodeProcess], version: int = 0, within_s: float = READY_S
@@ -219,11 +220,11 @@
 
     async def fault(self, address: str, **faults: object) -> None:
         """Switch faults of a stand-in."""
-        await control(self.client, address, "/faults", faults)
+        await control(address, "/faults", faults)
 
     async def counters(self, address: str) -> dict:
         """Return a stand-in's counters."""
-        return await control(self.client, address, "/counters")
+        return await control(address, "/counters")
 
     async def close(self) -> None:
         """End all processes that this world started."""
@@ -246,16 +247,15 @@
 
 
 @asynccontextmanager
-async def running_world(example: str, nodes: int, policy: str = "springbridge", ready: bool = True):
+async def running_world(example: str, nodes: int):
     """Start a world with an example table in force, and end it."""
     rows = with_free_addresses(load_example(example))
     with tempfile.TemporaryDirectory() as folder:
         logs = Path(os.environ.get("SPRINGBRIDGE_WORLD_LOGS", folder))
-        world = World(rows, logs, policy, free_address())
+        world = World(rows, logs, free_address())
         try:
             await _start(world, nodes)
-            if ready:
-                await _put_in_force(world)
+            await _put_in_force(world)
             yield world
         finally:
             await world.close()
@@ -294,6 +294,6 @@
     async def accepted() -> bool:
         return await world.import_rows() == FIRST_VERSION
 
-    # A repeat with the same change id changes nothing more, as an operator repeats it.
+    # An operator repeats an import under its change id, which is accepted once.
     if not await until(accepted, SETUP_S) or not await world.ready(nodes, FIRST_VERSION, SETUP_S):
         raise RuntimeError("the table did not come into force")
--- a/packages/springbridge-standins/springbridge_standins/gateway/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/caller.py
@@ -3,8 +3,9 @@
 import asyncio
 import itertools
 
-from springbridge_standins.http_wire import RawAnswer, read_answer
+from springbridge_standins.http_wire import RawAnswer, message, read_answer
 
+# Beyond the deadline of 3 s that each request names, with room for a busy machine.
 LONGEST_ANSWER_S = 10.0
 
 _numbers = itertools.count(1)
@@ -14,19 +15,16 @@
     """Return a request; header names are written with underscores."""
     fields = {
         "Host": "desk.example",
-        "Request-Id": f"r{next(_numbers)}",
+        "Request_Id": f"r{next(_numbers)}",
         "Authorization": "Bearer key-1",
-        "Deadline-Ms": "3000",
+        "Deadline_Ms": "3000",
+        "Content_Length": str(len(body) or ""),
     }
-    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
-    if body:
-        fields["Content-Length"] = str(len(body))
-    lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
-    return f"{method} {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
+    return message(f"{method} {path} HTTP/1.1", body, **fields | headers)
 
 
 class CallerConnection:
-    """A caller's connection, which it uses until the other side says or shows that it ends."""
+    """A caller's connection, used until the other side closes it or announces that it will."""
 
     def __init__(
         self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/packages/springbridge-standins/springbridge_standins/gateway/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/engine.py
@@ -2,22 +2,22 @@
 
 import asyncio
 import contextlib
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import Awaitable, Callable
 
+from springbridge_standins.http_standin import HttpStandIn
 from springbridge_standins.http_wire import (
     Connection,
     RawRequest,
     answer,
     chunk,
     event,
-    read_request,
     stream_head,
 )
 
 Script = Callable[[RawRequest, Connection], Awaitable[None]]
 
 
-class EngineStandIn:
+class EngineStandIn(HttpStandIn):
     """One engine.
 
     Attributes:
@@ -28,74 +28,29 @@
 
     def __init__(self, endpoint_id: str, script: Script | None = None) -> None:
         """Keep the name and the script."""
+        super().__init__()
         self.endpoint_id = endpoint_id
         self.script = script or plain_answer
         self.arrived: list[RawRequest] = []
         self.abandoned: list[str] = []
-        self.connections = 0
-        self.address = ""
-        self._server: asyncio.Server | None = None
-        self._open: set[Connection] = set()
-
-    async def start(self, ip: str) -> None:
-        """Begin to listen, at the address of before if there was one."""
-        port = int(self.address.rpartition(":")[2] or 0)
-        self._server = await asyncio.start_server(self.serve, ip, port)
-        host, port = self._server.sockets[0].getsockname()
-        self.address = f"{host}:{port}"
-
-    def stop(self) -> None:
-        """Stop listening and reset all connections, as a process that is killed does."""
-        if self._server is not None:
-            self._server.close()
-        for connection in self._open:
-            connection.reset()
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
-        self.connections += 1
-        connection = Connection(reader, writer)
-        self._open.add(connection)
-        with contextlib.suppress(
-            asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError
-        ):
-            while not writer.is_closing():
-                request = await read_request(reader)
-                self.arrived.append(request)
-                await self._run_script(request, connection)
-        self._open.discard(connection)
-        writer.close()
-
-    async def _run_script(self, request: RawRequest, connection: Connection) -> None:
+    async def respond(self, request: RawRequest, connection: Connection) -> None:
         """Run the script, and stop it when the caller closes the connection."""
+        self.arrived.append(request)
         work = asyncio.ensure_future(self.script(request, connection))
         gone = asyncio.ensure_future(connection.reader.read(1))
         await asyncio.wait([work, gone], return_when=asyncio.FIRST_COMPLETED)
+        gone.cancel()
+        # A reset is the caller's way to close, like the end that read() returns.
+        with contextlib.suppress(asyncio.CancelledError, ConnectionError):
+            await gone
         if not work.done():
             self.abandoned.append(request.request_id)
             work.cancel()
             raise ConnectionResetError
-        await _cancelled(gone)
         work.result()
 
 
-async def _cancelled(task: asyncio.Task) -> None:
-    """Cancel a task and wait for its end."""
-    task.cancel()
-    with contextlib.suppress(asyncio.CancelledError):
-        await task
-
-
-@contextlib.asynccontextmanager
-async def running_engine(engine: EngineStandIn, ip: str = "127.0.0.1") -> AsyncIterator[str]:
-    """Serve an engine and give its address."""
-    await engine.start(ip)
-    try:
-        yield engine.address
-    finally:
-        engine.stop()
-
-
 async def plain_answer(request: RawRequest, connection: Connection) -> None:
     """Answer with a length."""
     await connection.send(answer(request.request_id, b"whole"))
@@ -178,3 +133,26 @@
             connection.writer.close()
 
     return script
+
+
+def scripted(
+    desk: Script | None = None, model: Script | None = None
+) -> dict[str, tuple[str, Script]]:
+    """Return the scripts of a fleet in which both engines of a service do the same."""
+    scripts: dict[str, tuple[str, Script]] = {}
+    for service, script in (("desk", desk), ("model", model)):
+        for number in (1, 2):
+            if script is not None:
+                scripts[f"i-{service}-{number}"] = (service, script)
+    return scripts
+
+
+def failing_first(first: Script, then: Script) -> Script:
+    """Return a script that two engines share: the first request fails, later ones do not."""
+    seen: list[RawRequest] = []
+
+    async def script(request: RawRequest, connection: Connection) -> None:
+        seen.append(request)
+        await (first if len(seen) == 1 else then)(request, connection)
+
+    return script
--- a/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import contextlib
-import socket
 import time
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
@@ -11,10 +10,14 @@
 from springbridge_node.gateway.gateway import Gateway, Outside
 from springbridge_node.gateway.gateway_settings import Addresses, GatewaySettings
 
-from springbridge_standins.gateway.engine import EngineStandIn, Script, running_engine
-from springbridge_standins.gateway.store import StoreStandIn, running_store
+from springbridge_standins.free_addresses import free_ports
+from springbridge_standins.gateway.engine import EngineStandIn, Script
+from springbridge_standins.gateway.store import StoreStandIn
+from springbridge_standins.http_standin import running
 
+# The retry budget of the tests' nodes, a third of the soak's. Not measured; chosen.
 BUDGET = BudgetTerms(ratio=0.2, slack=20, window_s=10.0)
+# Ports that each node listens on.
 PORTS = 6
 MakeOutside = Callable[[str], Outside]
 
@@ -36,31 +39,35 @@
         return sum(len(engine.arrived) for engine in self.engines.values())
 
     async def kill_engines(self, service: str) -> None:
-        """Kill all engines of a service; the platform's list does not know yet."""
+        """Kill all engines of a service; the platform's list still names them."""
         for name, engine in self.engines.items():
             if service in name:
                 engine.stop()
 
     async def revive_engines(self, service: str) -> None:
-        """Start them again as they were."""
+        """Start the engines of a service again at their addresses."""
         for name, engine in self.engines.items():
             if service in name:
                 await engine.start("127.0.0.1")
 
     async def list_engine(self, name: str, service: str, state: str = "ready") -> None:
         """Write an engine's entry into the platform's list."""
-        await self.store.put(
-            "servers",
-            name,
-            {
-                "service": service,
-                "address": self.engines[name].address,
-                "zone": "perth-a",
-                "slots": 4,
-                "state": state,
-                "sequence": 1,
-            },
-        )
+        await list_engine(self.store, name, service, self.engines[name].address, state)
+
+
+async def list_engine(
+    store: StoreStandIn, name: str, service: str, address: str, state: str, slots: int = 4
+) -> None:
+    """Write an engine's entry into the platform's list."""
+    entry = {
+        "service": service,
+        "address": address,
+        "zone": "perth-a",
+        "slots": slots,
+        "state": state,
+        "sequence": 1,
+    }
+    await store.put("servers", name, entry)
 
 
 def route(name: str, kind: str, service: str, **fields: object) -> dict:
@@ -111,11 +118,11 @@
     """
     async with contextlib.AsyncExitStack() as stack:
         store = StoreStandIn()
-        await stack.enter_async_context(running_store(store))
+        await stack.enter_async_context(running(store))
         engines = {name: EngineStandIn(name, script) for name, (_, script) in scripts.items()}
         fleet = Fleet(store, engines)
         for name, engine in engines.items():
-            await stack.enter_async_context(running_engine(engine))
+            await stack.enter_async_context(running(engine))
             await fleet.list_engine(name, scripts[name][0])
         await store.put("op", "config", configuration(1))
         settings = _settings(nodes)
@@ -139,7 +146,7 @@
 
 
 def _settings(nodes: int) -> list[GatewaySettings]:
-    """Return settings of nodes that know each other as seeds."""
+    """Return the settings of nodes, each with the others as its seeds."""
     ips = [f"127.0.0.{number + 2}" for number in range(nodes)]
     ports = free_ports(PORTS)
     seeds = tuple(f"{ip}:{ports[3]}" for ip in ips)
@@ -160,21 +167,6 @@
     ]
 
 
-def free_ports(count: int) -> list[int]:
-    """Return ports that are free on all loopback IPs, for connections and for datagrams."""
-    with contextlib.ExitStack() as stack:
-        found = []
-        while len(found) < count:
-            sock = stack.enter_context(socket.socket())
-            sock.bind(("0.0.0.0", 0))
-            port = sock.getsockname()[1]
-            datagrams = stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
-            with contextlib.suppress(OSError):
-                datagrams.bind(("0.0.0.0", port))
-                found.append(port)
-    return found
-
-
 async def until(holds: Callable[[], bool], seconds: float = 10.0) -> None:
     """Wait until something holds.
 
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/callers.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/callers.py
@@ -1,7 +1,7 @@
 """Callers of the soak: each keeps its connection, and uses it until the other side ends it.
 
-A caller knows nothing of harms. It asks the directory of some node for an address only when it
-needs a new connection, so that nodes in their planned stop still get requests on old ones.
+A caller asks the directory of some node for an address only when it needs a new connection, so
+nodes in their planned stop still get requests on old ones.
 """
 
 import asyncio
@@ -15,11 +15,21 @@
 from springbridge_standins.gateway.soak.state import Asked, Soak
 
 PATHS = ("/safe/x", "/once/x", "/stream/x", "/single/x")
+# Prompts that requests share the beginning of; few, so that they meet at engines.
 PROMPTS = 6
-PROMPT_TOKENS = 1050
+# Tokens of the shared and of the own part of each prompt.
+SHARED_TOKENS, OWN_TOKENS = 800, 250
+# Tokens that a caller expects in an answer.
+ANSWER_TOKENS = 80
+# Longest body, in bytes.
+LONGEST_BODY = 400
+# Share of requests before which a caller takes a new connection though the old one is good.
 RENEWED_SHARE = 0.1
+# Longest pause of a caller between requests.
 LONGEST_REST_S = 0.05
+# Pause where no connection came up.
 PAUSE_AFTER_NONE_S = 0.1
+# How long a caller waits for a directory before it asks another.
 DIRECTORY_S = 0.5
 
 
@@ -47,7 +57,7 @@
 async def _call(soak: Soak, connection: CallerConnection, request_id: str, count: int) -> None:
     """Send one request and check what comes of it."""
     path = soak.rng.choice(PATHS)
-    body = bytes(soak.rng.randrange(256) for _ in range(soak.rng.randrange(1, 400)))
+    body = bytes(soak.rng.randrange(256) for _ in range(soak.rng.randrange(1, LONGEST_BODY)))
     soak.asked[request_id] = Asked(path, digest(body))
     node = soak.node_at(connection.address)
     kills_before = node.kills
@@ -78,22 +88,22 @@
 
 
 def _prompt_headers(soak: Soak, path: str, count: int) -> dict[str, str]:
-    """Return what a caller says of its prompt, nothing for plain services."""
+    """Return the headers that describe a prompt, none for plain services."""
     if path not in ("/stream/x", "/single/x"):
         return {}
     shared = soak.rng.randrange(PROMPTS)
     return {
-        "Prefix_Hash": f"{shared:x}:800,{count:x}f:250",
-        "Token_Usage": f"{PROMPT_TOKENS},80",
+        "Prefix_Hash": f"{shared:x}:{SHARED_TOKENS},{count:x}f:{OWN_TOKENS}",
+        "Token_Usage": f"{SHARED_TOKENS + OWN_TOKENS},{ANSWER_TOKENS}",
     }
 
 
 async def _address(soak: Soak) -> str:
-    """Return the address of a node as the directory of some node tells it."""
+    """Return an address from the directory of some node, or any node's if none answers."""
     for node in soak.rng.sample(soak.nodes, len(soak.nodes)):
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(DIRECTORY_S):
-                told = await ask(node.directory, "/v1/resolve?name=desk.example&zone=perth-a")
-            if told.status == 200:
-                return soak.rng.choice(orjson.loads(told.body)["addresses"])
+                got = await ask(node.directory, "/v1/resolve?name=desk.example&zone=perth-a")
+            if got.status == 200:
+                return soak.rng.choice(orjson.loads(got.body)["addresses"])
     return soak.rng.choice(soak.nodes).callers
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
@@ -4,8 +4,11 @@
 from springbridge_standins.gateway.soak.state import Soak
 from springbridge_standins.http_wire import RawAnswer
 
+# The customer whose key all callers of the soak use.
 CUSTOMER = "councils"
+# Paths whose requests may not be repeated.
 RUN_ONCE = frozenset({"/once/x", "/single/x"})
+# Statuses that say that a request was not run.
 NOT_RUN = frozenset({408, 421, 429, 503})
 
 
@@ -20,7 +23,7 @@
     if got.status in (401, 403, 404):
         soak.violated("allowed requests are not denied", f"{request_id} {path} {got.status}")
     if got.status in NOT_RUN and path in RUN_ONCE:
-        soak.told_not_run.add(request_id)
+        soak.reported_not_run.add(request_id)
         if got.status == 503 and "retry-after" not in got.headers:
             soak.violated("time to come back", f"{request_id} {path}")
 
@@ -28,10 +31,10 @@
 def check_no_answer(
     soak: Soak, path: str, request_id: str, node_was_killed: bool, exc: Exception
 ) -> None:
-    """Check a request to which no answer came; only a killed node owes none to what it passed on.
+    """Check a request that got no answer, which only the kill of its node excuses.
 
     Args:
-      exc: How the caller saw that none came.
+      exc: What ended the caller's wait.
     """
     if node_was_killed:
         return
@@ -50,9 +53,9 @@
             continue
         if soak.record.bodies[request_id] != asked.body_digest:
             soak.violated("bodies are unchanged", request_id)
-        if soak.record.tenants[request_id] != CUSTOMER:
+        if soak.record.customers[request_id] != CUSTOMER:
             soak.violated("the key's customer", request_id)
-        if request_id in soak.told_not_run:
+        if request_id in soak.reported_not_run:
             soak.violated("not run means not run", request_id)
         if runs > (1 if asked.path in RUN_ONCE else 2):
             soak.violated("attempts", f"{request_id} {asked.path} ran {runs} times")
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/engine.py
@@ -14,9 +14,15 @@
     stream_head,
 )
 
+# Share of requests that meet a fault, a sixth of it for each kind. Not measured; chosen so that
+# most requests succeed and each kind still comes often.
 FAULT_SHARE = 0.12
+# Longest stream; with EVENT_PAUSE_S up to a quarter of a second, so that harms meet it midway.
 MOST_EVENTS = 12
+# Pause after each event of a stream.
 EVENT_PAUSE_S = 0.02
+# Longest time that a plain answer takes.
+LONGEST_PLAIN_S = 0.03
 
 
 @dataclass
@@ -26,12 +32,12 @@
     Attributes:
       runs: How often each request was begun.
       bodies: Digest of the body of each request that was begun.
-      tenants: The customer that each request was run for.
+      customers: The customer that each request was run for.
     """
 
     runs: Counter = field(default_factory=Counter)
     bodies: dict[str, str] = field(default_factory=dict)
-    tenants: dict[str, str] = field(default_factory=dict)
+    customers: dict[str, str] = field(default_factory=dict)
 
 
 def digest(data: bytes) -> str:
@@ -69,7 +75,7 @@
 
     def __init__(self, endpoint_id: str, record: Record, rng: random.Random) -> None:
         """Keep the name, the common record and the source of chance."""
-        self._engine_id = endpoint_id
+        self._endpoint_id = endpoint_id
         self._record = record
         self._rng = rng
         self.faulty = True
@@ -77,7 +83,7 @@
     async def __call__(self, request: RawRequest, connection: Connection) -> None:
         """Answer one request."""
         fault = self._rng.random() if self.faulty else 1.0
-        if request.headers.get("expected-instance") != self._engine_id:
+        if request.headers.get("expected-instance") != self._endpoint_id:
             await connection.send(answer(request.request_id, b"", 421, signature=""))
             return
         if fault < FAULT_SHARE / 6:
@@ -98,11 +104,11 @@
         """Record that a request is begun."""
         self._record.runs[request.request_id] += 1
         self._record.bodies[request.request_id] = digest(request.body)
-        self._record.tenants[request.request_id] = request.headers.get("tenant", "")
+        self._record.customers[request.request_id] = request.headers.get("tenant", "")
 
     async def _plain(self, request: RawRequest, connection: Connection, surplus: bool) -> None:
         """Answer with a length, sometimes with a second answer behind."""
-        await asyncio.sleep(self._rng.random() * 0.03)
+        await asyncio.sleep(self._rng.random() * LONGEST_PLAIN_S)
         data = answer(request.request_id, plain_of(request.request_id, request.body))
         if surplus:
             data += answer("of-nobody", b"surplus")
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
@@ -7,14 +7,23 @@
 
 from springbridge_standins.gateway.fleet import configuration
 from springbridge_standins.gateway.soak.nodes import NodeProcess
-from springbridge_standins.gateway.soak.state import Soak, list_engine
+from springbridge_standins.gateway.soak.state import Soak
 from springbridge_standins.gateway.store import StoreFault
 from springbridge_standins.proxy import Harm, LoopbackProxy
 
+# Time that a node process takes to start and find its peers, with room for a busy machine.
 START_S = 2.0
+# The grace of a planned stop in the nodes' settings.
 GRACE_S = 6.0
-NO_FAULT = StoreFault.NONE
+# Room beyond the grace for a process to end.
+END_S = 2.0
+# Longest pause between the beginnings of two harms; they last longer, so they overlap.
+LONGEST_PAUSE_S = 1.2
+# Longest time of a harm that ends by itself.
+LONGEST_HARM_S = 3
+# Share of the store's faults after which the feed no longer reaches back.
 HISTORY_LOST_SHARE = 0.3
+# Versions and reload signals that follow each other without a pause to settle.
 CHANGES_IN_SERIES = 5
 
 
@@ -38,7 +47,7 @@
             harm = soak.rng.choice(harms)
             soak.counts[f"harm {harm.__name__.strip('_')}"] += 1
             group.create_task(harm(soak))
-            await asyncio.sleep(soak.rng.random() * 1.2)
+            await asyncio.sleep(soak.rng.random() * LONGEST_PAUSE_S)
 
 
 async def _harm_engine_link(soak: Soak) -> None:
@@ -53,16 +62,18 @@
     """Harm one link for a while."""
     proxy = soak.rng.choice(proxies)
     proxy.harm = soak.rng.choice([harm for harm in Harm if harm is not Harm.NONE])
-    await asyncio.sleep(soak.rng.random() * 3)
+    await asyncio.sleep(soak.rng.random() * LONGEST_HARM_S)
     proxy.harm = Harm.NONE
 
 
 async def _harm_store(soak: Soak) -> None:
     """Let the store fail for all."""
-    soak.store.fault = soak.rng.choice([fault for fault in StoreFault if fault is not NO_FAULT])
+    soak.store.fault = soak.rng.choice(
+        [fault for fault in StoreFault if fault is not StoreFault.NONE]
+    )
     if soak.rng.random() < HISTORY_LOST_SHARE:
         soak.store.history_lost_before = soak.store.version
-    await asyncio.sleep(soak.rng.random() * 3)
+    await asyncio.sleep(soak.rng.random() * LONGEST_HARM_S)
     soak.store.fault = StoreFault.NONE
 
 
@@ -78,11 +89,11 @@
 
 
 async def _freeze_node(soak: Soak) -> None:
-    """Stop a node's clock hand and let it go on."""
+    """Freeze a node and let it go on."""
     async with _free_node(soak) as node:
         if node is not None:
             node.signal(signal.SIGSTOP)
-            await asyncio.sleep(soak.rng.random() * 3)
+            await asyncio.sleep(soak.rng.random() * LONGEST_HARM_S)
             node.signal(signal.SIGCONT)
 
 
@@ -93,7 +104,7 @@
             return
         node.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(GRACE_S + 2):
+            async with asyncio.timeout(GRACE_S + END_S):
                 status = await node.ended()
             if status and not _was_still_starting(node, status):
                 soak.violated("a planned stop ends well", f"{node.name} status {status}")
@@ -147,9 +158,9 @@
 async def _drain_engine(soak: Soak) -> None:
     """Let an engine say that it leaves, and come back."""
     name = soak.rng.choice(sorted(soak.engines))
-    await list_engine(soak, name, "draining")
+    await soak.list_engine(name, "draining")
     await asyncio.sleep(1 + soak.rng.random() * 2)
-    await list_engine(soak, name, "ready")
+    await soak.list_engine(name, "ready")
 
 
 @contextlib.asynccontextmanager
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/nodes.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/nodes.py
@@ -47,8 +47,8 @@
     """One node as a process of its own.
 
     Attributes:
-      busy: Whether a signal's consequences are still being played.
-      kills: How often it was killed, each of which excuses answers that did not come.
+      busy: Whether a harm holds the node, so that no other harm takes it.
+      kills: How often it was killed; each kill excuses missing answers.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
 
     @property
     def directory(self) -> str:
-        """Return the address that tells callers where to go."""
+        """Return the address of the directory for callers."""
         return f"{self.ip}:{self.ports.directory}"
 
     async def start(self) -> None:
@@ -108,7 +108,7 @@
         return await self._process.wait()
 
     def had_started(self) -> bool:
-        """Return whether the process has logged its start, before which it serves nobody."""
+        """Return whether the process has logged its start; before that it serves nobody."""
         return f'"pid":{self._process.pid},' in self._log.read_text()
 
     def touch_settings(self) -> None:
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/soak.py
@@ -1,8 +1,8 @@
 """A randomized soak: real node processes, harmed from outside, with the promises checked all along.
 
 What is checked is what callers and engines see: whole answers that belong to their request, nothing
-run twice that may not be, nothing run that was told "not run", nothing that nobody asked, the right
-customer. Every chance comes from the seed; the moments at which processes act do not.
+run twice that may not be, nothing run that was reported not run, nothing run that nobody asked for,
+the right customer. All random draws come from the seed; the timing of processes does not.
 """
 
 import asyncio
@@ -16,19 +16,25 @@
 
 import typer
 
+from springbridge_standins.free_addresses import free_ports
 from springbridge_standins.gateway.engine import EngineStandIn
-from springbridge_standins.gateway.fleet import configuration, free_ports
+from springbridge_standins.gateway.fleet import configuration
 from springbridge_standins.gateway.soak.callers import call_forever
 from springbridge_standins.gateway.soak.checks import check_record
 from springbridge_standins.gateway.soak.engine import SoakScript
 from springbridge_standins.gateway.soak.harms import START_S, harm_forever
 from springbridge_standins.gateway.soak.nodes import NodeProcess, Ports
-from springbridge_standins.gateway.soak.state import Soak, list_engine
-from springbridge_standins.gateway.store import StoreStandIn, running_store
+from springbridge_standins.gateway.soak.state import Soak
+from springbridge_standins.gateway.store import StoreStandIn
+from springbridge_standins.http_standin import running
 from springbridge_standins.proxy import LoopbackProxy
+from springbridge_standins.soak_report import print_report
 
+# How many times as long a soak may go on, on a machine too busy to reach enough in its time.
 LONGEST = 6
+# First of the networks 127.N.0 for nodes; stand-ins and the tests' small fleets use 127.0.0.
 FIRST_NET = 2
+# Networks to choose from by the seed, so that soaks side by side don't share addresses.
 NETS = 200
 
 
@@ -43,12 +49,12 @@
     """Run a soak and return what it found; the nodes' logs are in the folder then.
 
     Args:
-      enough: Returns whether all that the soak is meant to reach was reached; on a busy machine it
-        goes on for that, up to LONGEST times as long.
+      enough: Returns whether the soak has reached what it is for; on a busy machine it goes on
+        until then, up to LONGEST times as long.
     """
     async with contextlib.AsyncExitStack() as stack:
         soak = Soak(random.Random(seed), StoreStandIn())
-        await stack.enter_async_context(running_store(soak.store))
+        await stack.enter_async_context(running(soak.store))
         await _start_engines(soak, stack)
         await soak.store.put("op", "config", configuration(soak.version))
         net = f"127.{FIRST_NET + seed % NETS}.0"
@@ -76,15 +82,14 @@
     for name in names:
         script = SoakScript(name, soak.record, soak.rng)
         engine = EngineStandIn(name, script)
-        await engine.start("127.0.0.1")
-        stack.callback(engine.stop)
+        await stack.enter_async_context(running(engine))
         proxy = LoopbackProxy(engine.address)
         await proxy.start()
         stack.callback(proxy.stop)
         soak.engines[name] = engine
         soak.engine_proxies.append(proxy)
     for name in names:
-        await list_engine(soak, name, "ready")
+        await soak.list_engine(name, "ready")
 
 
 async def _start_nodes(
@@ -113,18 +118,11 @@
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{number}-"))
         soak = asyncio.run(run_soak(number, minutes * 60, folder, nodes))
         failed = failed or bool(soak.violations)
-        requests = len(soak.asked)
-        harms = sum(count for name, count in soak.counts.items() if name.startswith("harm"))
-        typer.echo(
-            f"seed {number}: {len(soak.violations)} violations, {requests} requests, "
-            f"{harms} harms, {time.monotonic() - began_s:.0f} s"
-        )
-        for line in soak.violations[:20]:
-            typer.echo(f"  {line}")
+        took_s = time.monotonic() - began_s
+        summary = f"seed {number}, {len(soak.asked)} requests, {took_s:.0f} s"
+        print_report(summary, soak.violations, soak.counts)
         if soak.violations:
             typer.echo(f"  logs kept in {folder}")
         else:
             shutil.rmtree(folder)
-        for name, count in sorted(soak.counts.items()):
-            typer.echo(f"  {count:6} {name}")
     raise SystemExit(failed)
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/state.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/state.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 
 from springbridge_standins.gateway.engine import EngineStandIn
+from springbridge_standins.gateway.fleet import list_engine
 from springbridge_standins.gateway.soak.engine import Record
 from springbridge_standins.gateway.soak.nodes import NodeProcess
 from springbridge_standins.gateway.store import StoreStandIn
@@ -24,6 +25,7 @@
     """The parts of one run and what it found.
 
     Attributes:
+      reported_not_run: Ids of requests whose caller was answered that they were not run.
       violations: Each broken promise in a line.
       counts: Answers by path and status, and faults by name.
     """
@@ -36,7 +38,7 @@
     engine_proxies: list[LoopbackProxy] = field(default_factory=list)
     store_proxies: list[LoopbackProxy] = field(default_factory=list)
     asked: dict[str, Asked] = field(default_factory=dict)
-    told_not_run: set[str] = field(default_factory=set)
+    reported_not_run: set[str] = field(default_factory=set)
     violations: list[str] = field(default_factory=list)
     counts: Counter = field(default_factory=Counter)
     version: int = 1
@@ -45,23 +47,12 @@
         """Return the node with an address for callers."""
         return next(node for node in self.nodes if node.callers == callers)
 
+    async def list_engine(self, name: str, state: str) -> None:
+        """Write an engine's entry into the platform's list, with the address of its proxy."""
+        proxy = self.engine_proxies[sorted(self.engines).index(name)]
+        service = "desk" if "desk" in name else "model"
+        await list_engine(self.store, name, service, proxy.address, state, slots=8)
+
     def violated(self, promise: str, detail: str) -> None:
         """Note a broken promise."""
         self.violations.append(f"{promise}: {detail}")
-
-
-async def list_engine(soak: Soak, name: str, state: str) -> None:
-    """Write an engine's entry, with the address of its proxy."""
-    proxy = soak.engine_proxies[sorted(soak.engines).index(name)]
-    await soak.store.put(
-        "servers",
-        name,
-        {
-            "service": "desk" if "desk" in name else "model",
-            "address": proxy.address,
-            "zone": "perth-a",
-            "slots": 8,
-            "state": state,
-            "sequence": 1,
-        },
-    )
--- a/packages/springbridge-standins/springbridge_standins/gateway/store.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/store.py
@@ -3,21 +3,23 @@
 import asyncio
 import base64
 import contextlib
-from collections.abc import AsyncIterator
-from dataclasses import dataclass, field
+from collections import Counter
+from dataclasses import dataclass
 from enum import Enum
-from urllib.parse import parse_qsl, urlsplit
 
 import orjson
 
-from springbridge_standins.http_wire import Connection, RawRequest, answer, read_request
+from springbridge_standins.http_standin import HttpStandIn
+from springbridge_standins.http_wire import Connection, RawRequest, answer
 
+# Longer than any test.
 SILENT_S = 3600.0
+# Slow, and still within the nodes' timeouts for the store.
 SLOW_S = 0.4
 
 
 class StoreFault(Enum):
-    """How the store fails."""
+    """How the store fails; the order is part of what a soak's seed means."""
 
     NONE = "none"
     SILENT = "silent"
@@ -37,23 +39,25 @@
     version: int
 
 
-@dataclass
-class StoreStandIn:
+class StoreStandIn(HttpStandIn):
     """The rows.
 
     Attributes:
-      refused_from: IP numbers of nodes that the store turns away with the fault.
+      refused_from: IP numbers of nodes that the store turns away with the fault; all if empty.
+      history_lost_before: Version before which the feed no longer reaches back.
       calls: Calls by path.
     """
 
-    fault: StoreFault = StoreFault.NONE
-    refused_from: set[str] = field(default_factory=set)
-    history_lost_before: int = 0
-    calls: dict[str, int] = field(default_factory=dict)
-    version: int = 0
-    address: str = ""
-    _rows: dict[tuple[str, str], Row] = field(default_factory=dict)
-    _changed: asyncio.Condition = field(default_factory=asyncio.Condition)
+    def __init__(self) -> None:
+        """Start without rows."""
+        super().__init__()
+        self.fault = StoreFault.NONE
+        self.refused_from: set[str] = set()
+        self.history_lost_before = 0
+        self.calls: Counter[str] = Counter()
+        self.version = 0
+        self._rows: dict[tuple[str, str], Row] = {}
+        self._changed = asyncio.Condition()
 
     async def put(self, table: str, key: str, document: dict) -> None:
         """Write a document as the platform or the operator would."""
@@ -72,22 +76,10 @@
             self._rows[(table, key)] = Row(table, key, value, self.version)
             self._changed.notify_all()
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
-        peer = writer.get_extra_info("peername")[0]
-        connection = Connection(reader, writer)
-        with contextlib.suppress(
-            asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError
-        ):
-            while not writer.is_closing():
-                request = await read_request(reader)
-                await self._answer(request, connection, peer)
-        writer.close()
-
-    async def _answer(self, request: RawRequest, connection: Connection, peer: str) -> None:
+    async def respond(self, request: RawRequest, connection: Connection) -> None:
         """Answer a call, or fail it."""
-        path = urlsplit(request.target).path
-        self.calls[path] = self.calls.get(path, 0) + 1
+        self.calls[request.path] += 1
+        peer = connection.writer.get_extra_info("peername")[0]
         refused = not self.refused_from or peer in self.refused_from
         fault = self.fault if refused else StoreFault.NONE
         if fault is StoreFault.SILENT:
@@ -100,20 +92,19 @@
             return
         if fault is StoreFault.SLOW:
             await asyncio.sleep(SLOW_S)
-        query = dict(parse_qsl(urlsplit(request.target).query))
-        status, body = await self._call(path, query, request)
+        status, body = await self._call(request)
         if fault is StoreFault.LOST:
             await asyncio.sleep(SILENT_S)
         await connection.send(answer("", orjson.dumps(body), status, signature=""))
 
-    async def _call(self, path: str, query: dict, request: RawRequest) -> tuple[int, dict]:
-        """Do a call."""
-        if path == "/v1/rows-get":
-            return 200, self._shown(query["table"], -1) | {"more": False}
-        if path == "/v1/rows-feed":
-            return await self._feed(query)
-        if path == "/v1/rows-tx":
-            for row in orjson.loads(request.body)["put"]:
+    async def _call(self, request: RawRequest) -> tuple[int, dict]:
+        """Do a call and return status and body."""
+        if request.path == "/v1/rows-get":
+            return 200, self._shown(request.query["table"], -1) | {"more": False}
+        if request.path == "/v1/rows-feed":
+            return await self._feed(request.query)
+        if request.path == "/v1/rows-tx":
+            for row in request.json()["put"]:
                 await self._write(row["table"], row["key"], base64.b64decode(row["value"]))
             return 200, {"ver": self.version, "now_ms": 0}
         return 404, {}
@@ -142,15 +133,3 @@
             if row.table == table and row.version > since
         ]
         return {"rows": rows, "ver": self.version, "now_ms": 0}
-
-
-@contextlib.asynccontextmanager
-async def running_store(store: StoreStandIn, ip: str = "127.0.0.1") -> AsyncIterator[str]:
-    """Serve a store and give its address."""
-    server = await asyncio.start_server(store.serve, ip, 0)
-    host, port = server.sockets[0].getsockname()
-    store.address = f"{host}:{port}"
-    try:
-        yield store.address
-    finally:
-        server.close()
--- a/packages/springbridge-standins/springbridge_standins/http_wire.py
+++ b/packages/springbridge-standins/springbridge_standins/http_wire.py
@@ -3,9 +3,15 @@
 import asyncio
 import socket
 import struct
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from typing import Any
+from urllib.parse import parse_qsl, urlsplit
 
+import orjson
+
+# End of a line.
 CRLF = b"\r\n"
+# Value of SO_LINGER with which a close sends a reset.
 LINGER_NOT = struct.pack("ii", 1, 0)
 
 
@@ -23,6 +29,20 @@
         """Return the name of the request."""
         return self.headers.get("request-id", "")
 
+    @property
+    def path(self) -> str:
+        """Return the target without its query."""
+        return urlsplit(self.target).path
+
+    @property
+    def query(self) -> dict[str, str]:
+        """Return the query's fields."""
+        return dict(parse_qsl(urlsplit(self.target).query))
+
+    def json(self) -> Any:
+        """Return the decoded body."""
+        return orjson.loads(self.body)
+
 
 @dataclass(frozen=True)
 class RawAnswer:
@@ -44,13 +64,16 @@
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    closed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def send(self, data: bytes) -> None:
         """Send bytes."""
         self.writer.write(data)
         await self.writer.drain()
 
+    def close(self) -> None:
+        """End the connection when all is sent."""
+        self.writer.close()
+
     def reset(self) -> None:
         """End the connection with a reset."""
         sock = self.writer.get_extra_info("socket")
@@ -108,26 +131,31 @@
         return body, False
 
 
+def message(start: str, body: bytes, **headers: str) -> bytes:
+    """Return a message; header names are written with underscores, empty ones are left out."""
+    lines = "".join(
+        f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items() if value
+    )
+    return f"{start}\r\n{lines}\r\n".encode() + body
+
+
 def answer(
     request_id: str, body: bytes, status: int = 200, signature: str = "sig", **headers: str
 ) -> bytes:
-    """Return an answer with a length, as an engine sends it."""
+    """Return an answer with a length, as an endpoint sends it."""
     fields = {
-        "Request-Id": request_id,
-        "Response-Signature": signature,
-        "Content-Length": str(len(body)),
+        "Request_Id": request_id,
+        "Response_Signature": signature,
+        "Content_Length": str(len(body)),
     }
-    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
-    lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
-    return f"HTTP/1.1 {status} X\r\n{lines}\r\n".encode() + body
+    return message(f"HTTP/1.1 {status} X", body, **fields | headers)
 
 
 def stream_head(request_id: str, signature: str = "sig") -> bytes:
     """Return the head of a chunked stream of events."""
-    return (
-        f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\nResponse-Signature: {signature}\r\n"
-        "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-    ).encode()
+    fields = {"Request_Id": request_id, "Response_Signature": signature}
+    framing = {"Content_Type": "text/event-stream", "Transfer_Encoding": "chunked"}
+    return message("HTTP/1.1 200 OK", b"", **fields, **framing)
 
 
 def chunk(data: bytes) -> bytes:
@@ -138,3 +166,25 @@
 def event(number: int) -> bytes:
     """Return an event of a stream."""
     return f"id: {number}\ndata: piece-{number}\n\n".encode()
+
+
+async def fetch(
+    address: str, method: str, path: str, body: bytes = b"", timeout_s: float = 5.0, **headers: str
+) -> RawAnswer:
+    """Send a request on a connection of its own and return its answer.
+
+    Raises:
+      OSError: Nobody listens there, the connection broke or ended without an answer, or nothing
+        came within timeout_s.
+    """
+    host, _, port = address.rpartition(":")
+    async with asyncio.timeout(timeout_s):
+        reader, writer = await asyncio.open_connection(host, int(port))
+        try:
+            fields = {"Host": address, "Content_Length": str(len(body))}
+            writer.write(message(f"{method} {path} HTTP/1.1", body, **fields, **headers))
+            return await read_answer(reader)
+        except asyncio.IncompleteReadError as exc:
+            raise ConnectionResetError from exc
+        finally:
+            writer.close()
--- a/packages/springbridge-standins/springbridge_standins/proxy.py
+++ b/packages/springbridge-standins/springbridge_standins/proxy.py
@@ -1,15 +1,20 @@
-"""A loopback proxy that harms the connections through it: delayed, reset, silenced, cut one way."""
+"""A loopback proxy that delays, resets or silences the connections through it, or cuts one way."""
 
 import asyncio
 import contextlib
+from collections.abc import AsyncIterator
 from enum import Enum
 
+# Bytes that are read at once; any size does.
 PIECE_BYTES = 65536
+# Delay of each piece; long beside a loopback's microseconds, short beside a deadline of 3 s.
 DELAY_S = 0.15
+# How often a silenced direction looks whether it may go on.
+SILENCE_POLL_S = 0.05
 
 
 class Harm(Enum):
-    """What happens to connections."""
+    """What happens to connections; the order is part of what a soak's seed means."""
 
     NONE = "none"
     DELAY = "delay"
@@ -33,9 +38,10 @@
         self._server: asyncio.Server | None = None
         self.address = ""
 
-    async def start(self, ip: str = "127.0.0.1") -> None:
-        """Begin to listen on a free port."""
-        self._server = await asyncio.start_server(self._serve, ip, 0)
+    async def start(self, address: str = "127.0.0.1:0") -> None:
+        """Begin to listen; port 0 means any free one."""
+        host, _, port = address.rpartition(":")
+        self._server = await asyncio.start_server(self._serve, host, int(port))
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
@@ -56,6 +62,14 @@
         if harm is Harm.RESET:
             self._close_all()
 
+    def cut(self) -> None:
+        """Break all connections and let no new one through."""
+        self.harm = Harm.RESET
+
+    def mend(self) -> None:
+        """Let connections through again."""
+        self.harm = Harm.NONE
+
     def _close_all(self) -> None:
         for writer in self._writers:
             writer.transport.abort()
@@ -88,9 +102,20 @@
         """Pass bytes on in one direction until they end."""
         while piece := await reader.read(PIECE_BYTES):
             while self._harm is Harm.SILENCE or (self._harm is Harm.ONE_WAY and back):
-                await asyncio.sleep(0.05)
+                await asyncio.sleep(SILENCE_POLL_S)
             if self._harm is Harm.DELAY:
                 await asyncio.sleep(DELAY_S)
             writer.write(piece)
             await writer.drain()
         writer.close()
+
+
+@contextlib.asynccontextmanager
+async def running_relay(address: str, target: str) -> AsyncIterator[LoopbackProxy]:
+    """Run a proxy on an address."""
+    proxy = LoopbackProxy(target)
+    await proxy.start(address)
+    try:
+        yield proxy
+    finally:
+        proxy.stop()
