--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import OrderKind, TableStore
-from springbridge.classes.slots.scheduler import EngineScheduler
+from springbridge.classes.slots.scheduler import EndpointScheduler
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 from springbridge.membership import Member
@@ -166,7 +166,7 @@
         )
 
 
-def _scheduler_row(endpoint: str, scheduler: EngineScheduler) -> dict[str, object]:
+def _scheduler_row(endpoint: str, scheduler: EndpointScheduler) -> dict[str, object]:
     """Return the scheduler of an endpoint as the status shows it."""
     return {
         "engine": endpoint,
--- a/packages/springbridge/springbridge/routing/admission_test.py
+++ b/packages/springbridge/springbridge/routing/admission_test.py
@@ -76,11 +76,11 @@
 
 
 def test_without_any_customer_no_key_is_needed():
-    found = admit(index_of(make_route(), customers=()), make_arrival(key=None)).unwrap()
+    found = admit(index_of(make_route(), customers=()), make_arrival(key=None), DUE_S).unwrap()
     assert_that(found.customer, Equals(""))
 
 
 def test_a_service_that_the_configuration_does_not_describe_gets_the_fewest_connections():
     route = make_route(services=(WeightedService("other", 1.0),))
-    found = admit(index_of(route), make_arrival()).unwrap()
+    found = admit(index_of(route), make_arrival(), DUE_S).unwrap()
     assert_that((found.service.name, found.service.max_connections), Equals(("other", 1)))
