--- a/packages/springbridge-node/springbridge_node/gateway/callers/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: their requests as they arrive, and the answers they get."""
+"""Callers: how their requests arrive, what answer they get, and which nodes they should use."""
--- a/packages/springbridge-node/springbridge_node/gateway/callers/answer.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/answer.py
@@ -1,4 +1,8 @@
-"""The one answer that a caller gets to its request, written as it becomes known."""
+"""The answer to one request, written piece by piece to the caller.
+
+Owns the caller's connection from the request to the end of its answer. Every answer ends in one of
+three ways: finish(), refuse() or break_off().
+"""
 
 import orjson
 from springbridge.problems import Problem
@@ -12,15 +16,19 @@
 
 
 class CallerAnswer:
-    """An answer in the making.
+    """An answer that is being written.
 
     Attributes:
-      started: Whether its head was sent.
-      ended: Whether it was sent whole or broken off.
+      started: Whether its head was sent, after which its status can't change.
+      ended: Whether it was finished or broken off.
     """
 
     def __init__(self, connection: HTTP1Connection) -> None:
-        """Keep the connection on which the request came."""
+        """Start without an answer.
+
+        Args:
+          connection: The connection on which the request arrived.
+        """
         self._connection = connection
         self.started = False
         self.ended = False
@@ -45,17 +53,21 @@
             await _sent(self._connection.write(piece))
 
     def finish(self) -> None:
-        """End the answer as whole."""
+        """End the answer, which is complete."""
         self.ended = True
         self._connection.finish()
 
     def break_off(self) -> None:
-        """End the answer so that it does not look whole."""
+        """Close the connection, so that the caller sees that the answer is incomplete."""
         self.ended = True
         self._connection.close()
 
     async def refuse(self, problem: Problem) -> None:
-        """Send the product's own answer for a problem, with the time to come back if one is set."""
+        """Send the gateway's own answer for a problem, with Retry-After if the problem has one.
+
+        Raises:
+          CallerGoneError: The caller is gone.
+        """
         body = orjson.dumps({"error": problem.code.name, "code": int(problem.code)})
         headers = HTTPHeaders(
             {"Content-Type": "application/json", "Content-Length": str(len(body))}
@@ -67,7 +79,7 @@
 
 
 async def _sent(write) -> None:
-    """Wait for a write to the caller."""
+    """Wait for a write, and report a closed connection as a caller that is gone."""
     try:
         await write
     except StreamClosedError as exc:
--- a/packages/springbridge-node/springbridge_node/gateway/callers/directory.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/directory.py
@@ -1,13 +1,19 @@
-"""Which nodes a caller is told to use.
-
-An answer holds a bounded number of addresses. A larger fleet is told in part: the same part by
-every node, since callers close connections to addresses that a new answer lacks, and another part
-for each host, so that the load of all hosts spreads over all nodes.
+"""Which nodes a caller should use.
+
+Decided: the addresses in an answer of the directory.
+Inputs: the live nodes, the caller's failure domain, the host that it wants to reach.
+Outcome: at most MOST_ADDRESSES, those of the caller's own failure domain first. In a larger fleet
+every node names the same ones for a host, and other ones for another host.
+Why: callers close connections to addresses that a new answer lacks, so answers must not depend on
+the node that gives them; a choice by host spreads the load of all hosts over all nodes.
+Measured: with 100 nodes in a failure domain, a choice by name instead of by hash left 36 of them
+without callers from there.
 """
 
 from springbridge.hashing import score
 from springbridge.membership import Membership
 
+# Most addresses in an answer. Not measured.
 MOST_ADDRESSES = 64
 
 
@@ -15,19 +21,20 @@
     """Answers callers from the membership.
 
     Attributes:
-      ttl_s: How long callers may keep an answer.
+      ttl_s: How long callers may keep an answer, in seconds.
     """
 
     def __init__(self, membership: Membership, ttl_s: float) -> None:
-        """Keep the membership."""
+        """Answer from a membership, which may change at any time."""
         self._membership = membership
         self.ttl_s = ttl_s
 
     def addresses_for(self, failure_domain: str, host: str) -> list[str]:
-        """Return the addresses of nodes that run and are not leaving, those of a place first.
+        """Return the addresses of nodes that run and are not leaving, the best ones first.
 
         Args:
-          host: What the caller wants to reach.
+          failure_domain: Failure domain of the caller, empty if it did not say.
+          host: Host that the caller wants to reach.
         """
         key = f"{host} from {failure_domain}"
         members = sorted(
--- a/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
@@ -1,6 +1,7 @@
-"""The listener for callers: reads requests whole, and gives each a task of its own.
+"""The listener for callers: reads each request whole and serves it in a task of its own.
 
-The task ends early when the caller closes its connection, so that no endpoint works on for nobody.
+Owns the callers' connections and the tasks. A task is cancelled when its caller closes the
+connection, so that no endpoint goes on working for a caller that has left.
 """
 
 import asyncio
@@ -21,10 +22,14 @@
 from springbridge_node import logs
 from springbridge_node.gateway.callers.answer import CallerAnswer, CallerGoneError
 
+# Connections that may wait to be accepted. Not measured; chosen above tornado's 128, so that
+# callers that all connect at once, as after the loss of a node, are not turned away by the kernel.
+LISTEN_BACKLOG = 512
+
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A request as it came: start line, headers and whole body.
+    """A request as it arrived: start line, headers and whole body.
 
     Attributes:
       target: Path and query.
@@ -42,20 +47,24 @@
 
 
 class CallerListener(HTTPServerConnectionDelegate):
-    """Accepts callers' connections.
+    """Accepts callers' connections and starts a task for each request.
 
     Attributes:
-      in_progress: Tasks of requests that were read and are not answered yet.
+      in_progress: Tasks of the requests that are not answered yet.
     """
 
     def __init__(self, serve: Serve) -> None:
-        """Keep the function that serves one request."""
+        """Start without a socket.
+
+        Args:
+          serve: Serves one request and ends its answer.
+        """
         self._serve = serve
         self._server: HTTPServer | None = None
         self.in_progress: set[asyncio.Task] = set()
 
     def listen(self, address: str, limits: CallerLimits) -> None:
-        """Begin to accept connections at an address."""
+        """Accept connections at an address, an IP number and port."""
         host, _, port = address.rpartition(":")
         self._server = HTTPServer(
             self,
@@ -63,10 +72,10 @@
             max_body_size=limits.body_bytes,
             idle_connection_timeout=limits.idle_timeout_s,
         )
-        self._server.listen(int(port), host, backlog=512)
+        self._server.listen(int(port), host, backlog=LISTEN_BACKLOG)
 
     def apply(self, limits: CallerLimits) -> None:
-        """Hold to new limits from the next request of each connection on."""
+        """Apply new limits from the next request of each connection on."""
         if self._server is None:
             return
         params = self._server.conn_params
@@ -75,23 +84,23 @@
         params.header_timeout = limits.idle_timeout_s
 
     def close_after_answers(self) -> None:
-        """Let each connection end with its next answer."""
+        """Close each connection with its next answer."""
         if self._server is not None:
             self._server.conn_params.no_keep_alive = True
 
     def stop_accepting(self) -> None:
-        """Take no further connections."""
+        """Accept no further connections; open ones stay."""
         if self._server is not None:
             self._server.stop()
 
     def start_request(
         self, server_conn: object, request_conn: HTTP1Connection
     ) -> HTTPMessageDelegate:
-        """Return the reader of the next request on a connection."""
+        """Return the reader of the next request on a connection, as tornado asks for it."""
         return _RequestReader(self, request_conn)
 
     def begin(self, request: IncomingRequest, connection: HTTP1Connection) -> None:
-        """Serve a whole request in a task of its own."""
+        """Serve a request, which was read whole, in a task of its own."""
         answer = CallerAnswer(connection)
         task = asyncio.ensure_future(self._serve_guarded(request, answer))
         self.in_progress.add(task)
@@ -99,10 +108,11 @@
         connection.set_close_callback(lambda: _caller_left(answer, task))
 
     async def _serve_guarded(self, request: IncomingRequest, answer: CallerAnswer) -> None:
-        """Serve a request; its answer always ends."""
+        """Serve a request and end its answer whatever happens."""
         try:
             await self._serve(request, answer)
         except CallerGoneError:
+            # The router has logged how the request ended; nobody is left to answer.
             pass
         except Exception as exc:
             logs.fault(exc, "serve")
@@ -112,13 +122,13 @@
 
 
 def _caller_left(answer: CallerAnswer, task: asyncio.Task) -> None:
-    """Stop the work on a request whose caller has closed the connection."""
+    """Stop the work on a request whose caller closed the connection before its answer ended."""
     if not answer.ended:
         task.cancel()
 
 
 class _RequestReader(HTTPMessageDelegate):
-    """Collects one request."""
+    """Collects the parts of one request until it is whole."""
 
     def __init__(self, listener: CallerListener, connection: HTTP1Connection) -> None:
         self._listener = listener
@@ -129,7 +139,7 @@
         self._arrived_s = 0.0
 
     def headers_received(self, start_line: RequestStartLine, headers: HTTPHeaders) -> None:
-        """Keep the head."""
+        """Keep the head and the time of its arrival."""
         self._arrived_s = time.monotonic()
         self._line = start_line
         self._headers = headers
@@ -139,7 +149,7 @@
         self._pieces.append(chunk)
 
     def finish(self) -> None:
-        """Serve the request, which is whole now."""
+        """Serve the request, which is whole."""
         request = IncomingRequest(
             self._line.method,
             self._line.path,
@@ -150,5 +160,5 @@
         self._listener.begin(request, self._connection)
 
     def on_connection_close(self) -> None:
-        """Drop a request that did not come whole."""
+        """Drop a request that its caller did not finish sending."""
         self._pieces.clear()
--- a/packages/springbridge-node/springbridge_node/gateway/config/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a node believes of the configuration and of the endpoints, and how it keeps that fresh."""
+"""Keeps the configuration and the endpoint list fresh, from the platform's store and from peers."""
--- a/packages/springbridge-node/springbridge_node/gateway/config/dependency.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/dependency.py
@@ -1,4 +1,7 @@
-"""Whether something this node depends on answers, logged once when it changes."""
+"""Whether a dependency of this node answers, logged only when that changes.
+
+One line for each change, so that an outage does not flood the log.
+"""
 
 from springbridge_node import logs
 
@@ -7,24 +10,32 @@
     """The state of one dependency.
 
     Attributes:
-      up: Whether the last call was answered.
+      up: Whether it answered the last call; True before the first.
     """
 
     def __init__(self, name: str) -> None:
-        """Begin as if it answered, so that the first failure is logged."""
-        self.name = name
+        """Start as if it had answered, so that a first failure is logged.
+
+        Args:
+          name: Name of the dependency in the log.
+        """
+        self._name = name
         self.up = True
 
     def answered(self) -> bool:
-        """Note an answer and return whether the dependency was lost before."""
+        """Note an answer and return whether it ends an outage."""
         regained = not self.up
         if regained:
-            logs.event("dependency.regained", dependency=self.name)
+            logs.event("dependency.regained", dependency=self._name)
         self.up = True
         return regained
 
     def failed(self, reason: str) -> None:
-        """Note a failed call."""
+        """Note a failed call.
+
+        Args:
+          reason: What failed, for the log.
+        """
         if self.up:
-            logs.event("dependency.lost", dependency=self.name, reason=reason)
+            logs.event("dependency.lost", dependency=self._name, reason=reason)
         self.up = False
--- a/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
@@ -1,4 +1,7 @@
-"""Ports: the platform's store as a node needs it. The adapter stands with the platform's names."""
+"""Ports to the platform's store: the calls that a node makes and the records that it gets back.
+
+The adapter in the platform's folder implements them and alone knows the store's names and formats.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -7,14 +10,16 @@
 from springbridge.problems import Problem
 from springbridge.routing.records import Configuration, EndpointSnapshot
 
-# How long a call to the store may take, and how much longer than its wait one that waits.
+# Seconds that a call to the store may take. Not measured.
 CALL_TIMEOUT_S = 1.2
+# Seconds that a call at the feed may take beyond the wait that it asks for. It covers the way there
+# and back and a late wake-up of the store. Not measured.
 FEED_MARGIN_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDocument:
-    """A configuration as the operators wrote it, which nodes pass on unread."""
+    """A configuration as the operators wrote it; nodes pass it on to peers byte for byte."""
 
     version: int
     raw: bytes
@@ -22,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationNews:
-    """What a read or a wait brought.
+    """The result of a read or of a wait at the feed.
 
     Attributes:
-      cursor: Where the next wait goes on.
-      document: The newest configuration, or None if nothing changed.
+      cursor: Where the next wait continues.
+      document: The newest configuration, or None if there is no new one.
     """
 
     cursor: int
@@ -34,7 +39,7 @@
 
 
 class PlatformStore(Protocol):
-    """The platform's store; every problem is TABLE_UNAVAILABLE unless it says otherwise."""
+    """The platform's store; a failed call returns TABLE_UNAVAILABLE unless its text says more."""
 
     async def read_configuration(self) -> Result[ConfigurationNews, Problem]:
         """Return the newest configuration."""
@@ -42,28 +47,29 @@
     async def await_configuration(
         self, cursor: int, wait_s: float
     ) -> Result[ConfigurationNews, Problem]:
-        """Return the next configuration as soon as there is one, or none after a time.
+        """Return the next configuration as soon as there is one, or none after wait_s seconds.
 
         Returns:
-          VERSION_CONFLICT where the store no longer knows what followed the cursor.
+          VERSION_CONFLICT if the store no longer has the changes after the cursor, so that the
+          whole must be read again.
         """
 
     async def read_endpoints(self) -> Result[EndpointSnapshot, Problem]:
-        """Return the endpoints that are listed."""
+        """Return the endpoints that are listed now."""
 
     async def read_nodes(self) -> Result[list[str], Problem]:
-        """Return the peer addresses of nodes that announced themselves."""
+        """Return the peer addresses of the nodes that announced themselves."""
 
     async def announce(self, peer_address: str) -> Result[None, Problem]:
-        """Write this node's peer address for nodes that start later."""
+        """Announce this node's peer address to nodes that start later."""
 
 
 class ConfigurationReader(Protocol):
-    """Reads the operators' document."""
+    """Parses a configuration as the operators wrote it."""
 
     def __call__(self, raw: bytes) -> Configuration:
         """Return the configuration.
 
         Raises:
-          ValueError: The document cannot be read.
+          ValueError, KeyError, TypeError: The document is invalid.
         """
--- a/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node that routes by host and path, checked before anything starts."""
+"""Settings of the gateway, checked before anything starts."""
 
 from dataclasses import dataclass
 
@@ -10,11 +10,11 @@
     """Where a node listens, each an IP number and port; an empty one is not served.
 
     Attributes:
-      callers: For callers' requests.
-      ready: For the question whether the node is ready.
-      directory: For callers that ask which nodes to use.
-      peers: For peers' questions.
-      metrics: For the metrics.
+      callers: Callers' requests.
+      ready: The platform's readiness check.
+      directory: Callers that ask which nodes to use.
+      peers: Peers that fetch a configuration or an endpoint list.
+      metrics: The metrics.
     """
 
     callers: str
@@ -29,13 +29,13 @@
     """All settings of a node.
 
     Attributes:
-      gossip_port: Port of the digests, alike on all nodes.
-      seeds: Peer addresses to begin with, this node's own perhaps among them; they may be stale.
-      first_start: Whether the whole system starts for the first time, so that nobody waits for it.
-      budget: What all nodes together may send to second endpoints.
-      grace_s: Time between a planned stop and its end.
-      longest_ttl_s: Longest time for which callers keep an answer of the directory.
-      drain_s: Time within which no request may reach an endpoint that leaves.
+      gossip_port: Port for datagrams between nodes, the same on all of them.
+      seeds: Peer addresses to start with. They may be stale, and this node's own may be among them.
+      budget: How many retries all nodes together may make.
+      grace_s: Time between the signal of a planned stop and the kill, in seconds.
+      longest_ttl_s: Longest time for which callers may keep an answer of the directory, in seconds.
+      drain_s: Time within which requests must stop reaching an endpoint that leaves, in seconds.
+      first_start: Whether the whole fleet starts now, for the first time.
     """
 
     name: str
@@ -54,12 +54,12 @@
         """Check the values.
 
         Raises:
-          ValueError: One is missing or out of range; the message names it.
+          ValueError: A value is missing or out of range; the message names it.
         """
         for name in ("callers", "ready", "peers"):
             _check_address(name, getattr(self.addresses, name))
         if not 0 < self.gossip_port < 65536:
-            raise ValueError(f"gossip_port: {self.gossip_port} is no port")
+            raise ValueError(f"gossip_port: {self.gossip_port} is not a port")
         for name in ("grace_s", "longest_ttl_s", "drain_s"):
             if getattr(self, name) <= 0:
                 raise ValueError(f"{name}: must be above 0")
@@ -71,7 +71,10 @@
 
     @property
     def asks_seeds_first(self) -> bool:
-        """Return whether this node leaves the store to its seeds for a moment at its start."""
+        """Return whether this node asks its seeds before the store when it starts.
+
+        When a whole fleet starts, the seeds read the store and the others wait for them.
+        """
         return self.first_start and self.addresses.peers not in self.seeds
 
 
@@ -79,4 +82,4 @@
     """Check that an address is an IP number and a port."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise ValueError(f"addresses.{name}: {address!r} is no IP number and port")
+        raise ValueError(f"addresses.{name}: {address!r} is not an IP number and a port")
--- a/packages/springbridge-node/springbridge_node/gateway/telemetry.py
+++ b/packages/springbridge-node/springbridge_node/gateway/telemetry.py
@@ -1,12 +1,18 @@
-"""Counters and latency histograms, served as text on the metrics address."""
+"""The gateway's metrics, served as text on the metrics address."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
+# Upper bounds of the buckets, in seconds. Not measured; chosen finest below a second, the usual
+# target for the first piece of an answer.
 FIRST_PIECE_BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.35, 0.6, 1.0, 1.5, 2.5, 5.0, 10.0)
 
 
 class Telemetry:
-    """The metrics of one node; docs/OPERATIONS.md lists them."""
+    """The metrics of one node; docs/OPERATIONS.md lists them.
+
+    Counters and the histogram count up as requests end. The gauges are set when the metrics are
+    read.
+    """
 
     def __init__(self) -> None:
         """Create all metrics at zero."""
@@ -40,5 +46,5 @@
         )
 
     def text(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
