--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -1,8 +1,8 @@
 """Keeps the newest configuration in force, from the store's feed and from peers.
 
-Owns the configuration of this node. Relies on routing/freshness.py, which decides who reads the
-store. A few nodes wait at the store's feed, which delivers changes at once, and pass them on to the
-others. Digests carry the seconds since the version in force was last known to be the newest, so a
+Owns the configuration of this node. Relies on routing/store_freshness.py, which decides who reads
+the store. A few nodes wait at the store's feed, which delivers changes at once, and pass them on to
+the others. Digests carry the seconds since the version in force was last known to be the newest, so a
 node whose peers confirm its version leaves the store alone. A node that cannot reach the store gets
 new versions from its peers. A version is never replaced by an older one.
 """
@@ -15,7 +15,7 @@
 from returns.result import Failure, Success
 from springbridge.codes import Code
 from springbridge.routing.admission import RouteIndex
-from springbridge.routing.freshness import (
+from springbridge.routing.store_freshness import (
     FEED_READERS,
     FEED_WAIT_S,
     LOOK_S,
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -6,8 +6,8 @@
 from returns.result import Failure, Success
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.routing.freshness import CONFIRMED_S, LOOK_S
 from springbridge.routing.records import Configuration
+from springbridge.routing.store_freshness import CONFIRMED_S, LOOK_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
@@ -1,7 +1,7 @@
 """Keeps the endpoint list fresh: a few nodes read the store, the others follow their peers.
 
 Owns when the list is read or fetched; the endpoint registry owns the list itself. Relies on
-routing/freshness.py, which decides who reads. Non-readers see in their peers' digests whether
+routing/store_freshness.py, which decides who reads. Non-readers see in their peers' digests whether
 their list is still the newest, and fetch a changed one from a peer.
 """
 
@@ -13,7 +13,8 @@
 from returns.result import Failure, Success
 from springbridge.membership import Membership, SnapshotStatus
 from springbridge.routing.endpoint_registry import EndpointRegistry
-from springbridge.routing.freshness import (
+from springbridge.routing.records import EndpointSnapshot
+from springbridge.routing.store_freshness import (
     ASK_PEERS_AFTER_S,
     LOOK_S,
     OLDEST_AGE_S,
@@ -23,7 +24,6 @@
     is_confirmed,
     is_overdue,
 )
-from springbridge.routing.records import EndpointSnapshot
 
 from springbridge_node import logs
 from springbridge_node.gateway.config.dependency import Dependency
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -10,8 +10,8 @@
 from springbridge.membership import Member, Membership, SnapshotStatus
 from springbridge.problems import Problem
 from springbridge.routing.endpoint_registry import EndpointRegistry
-from springbridge.routing.freshness import CONFIRMED_S, LOOK_S, SNAPSHOT_INTERVAL_S
 from springbridge.routing.records import EndpointEntry, EndpointSnapshot
+from springbridge.routing.store_freshness import CONFIRMED_S, LOOK_S, SNAPSHOT_INTERVAL_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
--- a/packages/springbridge-node/springbridge_node/gateway/config/store_readers.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers.py
@@ -1,14 +1,14 @@
 """This node's rank among those that read the platform's store for all.
 
-Applies routing/freshness.py to the membership as this node sees it. Owns nothing but the time at
-which a starting node stops waiting for its seeds.
+Applies routing/store_freshness.py to the membership as this node sees it. Owns nothing but the time
+at which a starting node stops waiting for its seeds.
 """
 
 import time
 from collections.abc import Callable
 
 from springbridge.membership import Membership
-from springbridge.routing import freshness
+from springbridge.routing import store_freshness
 
 
 class StoreReaders:
@@ -28,7 +28,7 @@
         self._membership = membership
         self._clock = clock
         self._ask_seeds_until_s = clock() + (
-            freshness.ASK_SEEDS_FIRST_S if asks_seeds_first else 0.0
+            store_freshness.ASK_SEEDS_FIRST_S if asks_seeds_first else 0.0
         )
 
     def include_me(self, count: int) -> bool:
@@ -41,11 +41,11 @@
         Args:
           count: How many nodes read for all.
         """
-        return freshness.turn_s(self._rank(), count)
+        return store_freshness.turn_s(self._rank(), count)
 
     def round_s(self) -> float:
         """Return the time in which each live node has a turn, in seconds."""
-        return freshness.round_s(len(self._membership.incarnations()))
+        return store_freshness.round_s(len(self._membership.incarnations()))
 
     def seeds_come_first(self) -> bool:
         """Return whether this node has just started and leaves the store to its seeds."""
@@ -53,4 +53,6 @@
 
     def _rank(self) -> int:
         """Return how many live nodes come before this one."""
-        return freshness.rank(self._membership.me.incarnation, self._membership.incarnations())
+        return store_freshness.rank(
+            self._membership.me.incarnation, self._membership.incarnations()
+        )
--- a/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 from springbridge.membership import Member, Membership
-from springbridge.routing.freshness import ASK_SEEDS_FIRST_S, TURN_S
+from springbridge.routing.store_freshness import ASK_SEEDS_FIRST_S, TURN_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -15,11 +15,11 @@
 from springbridge.problems import Problem
 from springbridge.routing.admission import RouteIndex
 from springbridge.routing.endpoint_registry import EndpointRegistry
-from springbridge.routing.freshness import snapshot_interval_s
 from springbridge.routing.planned_stop import address_ttl_s
 from springbridge.routing.readiness import is_ready
 from springbridge.routing.records import CallerLimits
 from springbridge.routing.shared_retry_budget import SharedRetryBudget
+from springbridge.routing.store_freshness import snapshot_interval_s
 
 from springbridge_node import logs
 from springbridge_node.gateway import bounded_log
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from springbridge.membership import Membership
-from springbridge.routing.freshness import FEED_READERS
+from springbridge.routing.store_freshness import FEED_READERS
 
 from springbridge_node import logs
 from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
--- a/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/users_platform/mutants.py
@@ -73,7 +73,7 @@
     ),
     Mutant(
         "a node that nobody confirms reads the store",
-        f"{LIBRARY}/routing/freshness.py",
+        f"{LIBRARY}/routing/store_freshness.py",
         "return is_reader or is_overdue(age_s, own_turn_s)",
         "return is_reader",
         f"{FOLLOWER}::test_a_node_whose_version_nobody_confirms_reads_the_store",
--- a/packages/springbridge/springbridge/routing/freshness_test.py
+++ b/packages/springbridge/springbridge/routing/store_freshness_test.py
@@ -1,11 +1,11 @@
-"""Tests of freshness.py: who reads the store, in which order, and what a peer's list proves."""
+"""Tests of store_freshness.py: who reads the store and when, and what a peer's list proves."""
 
 import pytest
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
 from springbridge.membership import SnapshotStatus
-from springbridge.routing.freshness import (
+from springbridge.routing.store_freshness import (
     CONFIRMED_S,
     FEED_RETRY_S,
     ROLE_KEY,
