--- a/packages/springbridge-node/springbridge_node/gateway/callers/directory_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/directory_test.py
@@ -1,4 +1,4 @@
-"""Tests of directory.py: callers are told of live nodes, and in a large fleet all get some."""
+"""Tests of directory.py: callers get live nodes, and in a large fleet all nodes get callers."""
 
 import random
 
@@ -9,14 +9,16 @@
 
 from springbridge_node.gateway.callers.directory import MOST_ADDRESSES, AddressBook
 
-PLACES = ("perth-a", "perth-b", "perth-c")
+FAILURE_DOMAINS = ("perth-a", "perth-b", "perth-c")
 HOSTS = ("desk.example", "council.example", "airport.example", "transit.example")
 
 
 def book_of(count, me=0):
-    """Return the directory of one of so many nodes, a third in each place."""
+    """Return the address book of one node of a fleet, a third of it in each failure domain."""
     members = [
-        Member(f"i{number}", f"n{number:03}", "", f"10.0.{number}.1:80", PLACES[number % 3])
+        Member(
+            f"i{number}", f"n{number:03}", "", f"10.0.{number}.1:80", FAILURE_DOMAINS[number % 3]
+        )
         for number in range(count)
     ]
     membership = Membership(members[me], lambda: 100.0, random.Random(me))
@@ -34,8 +36,8 @@
 def test_a_large_fleet_is_told_in_part_the_nodes_of_the_caller_s_place_first():
     told = book_of(300).addresses_for("perth-b", "desk.example")
     assert_that(told, HasLength(MOST_ADDRESSES))
-    places = {PLACES[int(address.split(".")[2]) % 3] for address in told}
-    assert_that(places, Equals({"perth-b"}))
+    domains = {FAILURE_DOMAINS[int(address.split(".")[2]) % 3] for address in told}
+    assert_that(domains, Equals({"perth-b"}))
 
 
 def test_all_nodes_tell_the_same_so_that_callers_keep_their_connections():
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -2,13 +2,12 @@
 
 Owns the configuration of this node. Relies on routing/store_freshness.py, which decides who reads
 the store. A few nodes wait at the store's feed, which delivers changes at once, and pass them on to
-the others. Digests carry the seconds since the version in force was last known to be the newest, so a
-node whose peers confirm its version leaves the store alone. A node that cannot reach the store gets
-new versions from its peers. A version is never replaced by an older one.
+the others. Digests carry the seconds since the version in force was last known to be the newest, so
+a node whose peers confirm its version leaves the store alone. A node that cannot reach the store
+gets new versions from its peers. A version is never replaced by an older one.
 """
 
 import asyncio
-import contextlib
 import time
 from collections.abc import Awaitable, Callable
 
@@ -32,6 +31,7 @@
     PlatformStore,
 )
 from springbridge_node.gateway.config.store_readers import StoreReaders
+from springbridge_node.periodic import pause
 
 # When a first configuration is likely to be here: at a start, and while the store is out.
 DUE_AT_START_S = 0.5
@@ -135,14 +135,7 @@
             self._feed_is_up = False
             if not self._watch.cancelled() and self._watch.exception():
                 logs.fault(self._watch.exception(), "configuration feed")
-            await self._pause()
-
-    async def _pause(self) -> None:
-        """Wait before the next read; refresh() cuts the wait short."""
-        # The timeout is the usual end of this wait, not an error.
-        with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._pause_s()):
-                await self._missed_changes.wait()
+            await pause(self._pause_s(), self._missed_changes)
 
     def _pause_s(self) -> float:
         """Return how long to wait before the next read, in seconds."""
@@ -154,7 +147,7 @@
         )
 
     def refresh(self) -> None:
-        """Read the store at once, because changes may have been missed."""
+        """Read the store at once, without the rest of a pause: changes may have been missed."""
         self._feed_is_up = False
         self._confirmed_s = float("-inf")
         self._missed_changes.set()
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -1,4 +1,4 @@
-"""Tests of configuration_follower.py: what is in force, and when the store is read for it."""
+"""Tests of configuration_follower.py: which version is in force, and when the store is read."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 class Store:
-    """A store that counts its calls and answers or does not."""
+    """A store that counts its calls and, while it is up, answers them."""
 
     def __init__(self):
         self.up = True
@@ -34,13 +34,13 @@
         return Success(ConfigurationNews(1, document(VERSION)))
 
     async def await_configuration(self, cursor, wait_s):
-        """Wait without an end."""
+        """Wait longer than any test runs."""
         self.waits += 1
         await asyncio.sleep(FOREVER_S)
 
 
 class Readers:
-    """Whether this node reads for all, and how long it leaves that to others."""
+    """A fixed view of who reads the store, in place of the membership's."""
 
     def __init__(self, reads_for_all=False, is_starting=False, turn_s=0.0, round_s=0.0):
         self.reads_for_all = reads_for_all
--- a/packages/springbridge-node/springbridge_node/gateway/config/conftest.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of this folder share: a clock that they move."""
+"""Fixtures of this folder: a clock that tests move."""
 
 import pytest
 
@@ -16,5 +16,5 @@
 
 @pytest.fixture
 def clock():
-    """Return a clock at rest."""
+    """Return a clock that stands still until a test moves it."""
     return Clock()
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -30,7 +30,7 @@
 
 
 class Store:
-    """A store that counts its calls and answers or does not."""
+    """A store that counts its calls and, while it is up, answers them."""
 
     def __init__(self):
         self.up = True
@@ -45,7 +45,7 @@
 
 
 class Readers:
-    """Whether this node reads for all, and how long it leaves that to others."""
+    """A fixed view of who reads the store, in place of the membership's."""
 
     def __init__(self, reads_for_all):
         self.reads_for_all = reads_for_all
@@ -55,7 +55,7 @@
         return self.reads_for_all
 
     def seeds_come_first(self):
-        """Return that this node has run for long."""
+        """Return that this node is not starting."""
         return False
 
     def turn_s(self, count):
@@ -90,7 +90,7 @@
         return self.peer_list
 
     def heard(self, age_s, fingerprint=None):
-        """Hear from a peer that has the same list, or one with another mark."""
+        """Take in a digest of a peer that has the same list, or one with another fingerprint."""
         seen = SnapshotStatus(
             self.registry.fingerprint if fingerprint is None else fingerprint, age_s
         )
@@ -98,7 +98,7 @@
         self.membership.merge([peer])
 
     def steps(self, count=1):
-        """Take steps and return how often the store was read in them."""
+        """Take steps and return how many reads of the store they made."""
         before = self.store.reads
 
         async def body():
--- a/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
@@ -15,6 +15,7 @@
 from springbridge_node import logs
 from springbridge_node.gateway.gateway import Gateway
 from springbridge_node.gateway.gateway_settings import GatewaySettings
+from springbridge_node.periodic import pause
 
 # Seconds between two checks whether the last answer is out. Not measured; chosen so that a stop
 # takes hardly longer than its answers.
@@ -86,10 +87,7 @@
     """Reload the settings whenever the file has changed or a signal asks for it."""
     seen = _modified(settings_path)
     while True:
-        # The timeout is the usual end of this wait, not an error.
-        with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SETTINGS_POLL_S):
-                await changed.wait()
+        await pause(SETTINGS_POLL_S, changed)
         signalled = changed.is_set()
         changed.clear()
         now = _modified(settings_path)
--- a/packages/springbridge-node/springbridge_node/periodic.py
+++ b/packages/springbridge-node/springbridge_node/periodic.py
@@ -1,10 +1,11 @@
-"""Periodic steps of a node, which go on after a fault.
+"""Periodic steps of a node, which go on after a fault, and pauses that an event cuts short.
 
 Owns nothing. A step that fails is logged by type and line, and the next one is taken as usual, so
 that one fault does not end a background task for the rest of the process's life.
 """
 
 import asyncio
+import contextlib
 from collections.abc import Awaitable, Callable
 
 from springbridge_node import logs
@@ -28,6 +29,14 @@
         await asyncio.sleep(interval_s)
 
 
+async def pause(longest_s: float, woken: asyncio.Event) -> None:
+    """Wait until an event is set, but no longer than a time in seconds."""
+    # The timeout is the usual end of this wait, not an error.
+    with contextlib.suppress(TimeoutError):
+        async with asyncio.timeout(longest_s):
+            await woken.wait()
+
+
 def guarded(step: Callable[[], None]) -> None:
     """Take one step and log its fault, so that the steps after it are taken as well."""
     try:
