--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -30,17 +30,15 @@
     ConfigurationReader,
     PlatformStore,
 )
+from springbridge_node.gateway.config.source import Source
 from springbridge_node.gateway.config.store_readers import StoreReaders
 from springbridge_node.periodic import pause
 
 # When a first configuration is likely to be here: at a start, and while the store is out.
 DUE_AT_START_S = 0.5
 DUE_IN_OUTAGE_S = 3.0
-# Where a version came from, in the log.
-STORE = "store"
-PEER = "peer"
 
-Installed = Callable[[RouteIndex, str], None]
+Installed = Callable[[RouteIndex, Source], None]
 FetchFromPeers = Callable[[int], Awaitable[ConfigurationDocument | None]]
 
 
@@ -108,7 +106,7 @@
         if version == self.version:
             self._confirmed_s = max(self._confirmed_s, self._clock() - age_s)
 
-    def offer(self, document: ConfigurationDocument, source: str) -> None:
+    def offer(self, document: ConfigurationDocument, source: Source) -> None:
         """Put a configuration in force if it is newer than the present one and can be read."""
         if document.version <= self.version:
             return
@@ -174,7 +172,7 @@
             return
         document = await fetch(self.version)
         if document is not None:
-            self.offer(document, PEER)
+            self.offer(document, Source.PEER)
         elif self.index is not None:
             self.refresh()
 
@@ -196,7 +194,7 @@
                 self._dependency.answered()
                 self._confirmed_s = self._clock()
                 if document is not None:
-                    self.offer(document, STORE)
+                    self.offer(document, Source.STORE)
                 return cursor
             case Failure(problem):
                 self._feed_is_up = False
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -13,6 +13,7 @@
 
 from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
 from springbridge_node.gateway.config.platform_store import ConfigurationDocument, ConfigurationNews
+from springbridge_node.gateway.config.source import Source
 
 VERSION = 3
 FOREVER_S = 60.0
@@ -143,7 +144,7 @@
     readers = Readers(is_starting=True)
 
     def told(follower):
-        follower.offer(document(VERSION), "peer")
+        follower.offer(document(VERSION), Source.PEER)
         follower.confirm(VERSION, 0.1)
 
     def no_longer(follower):
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
@@ -28,6 +28,7 @@
 from springbridge_node import logs
 from springbridge_node.gateway.config.dependency import Dependency
 from springbridge_node.gateway.config.platform_store import PlatformStore
+from springbridge_node.gateway.config.source import Source
 from springbridge_node.gateway.config.store_readers import StoreReaders
 
 
@@ -126,7 +127,7 @@
         if self._registry.revision < 0:
             aged = await self._hooks.fetch(None)
             if aged is not None:
-                self._install(aged, "seed")
+                self._install(aged, Source.SEED)
         return is_confirmed(self._registry.age_s()) or self._readers.seeds_come_first()
 
     async def _has_to_stand_in(self) -> bool:
@@ -156,7 +157,7 @@
         """Install the list of a peer and return whether the peer delivered one."""
         aged = await self._hooks.fetch(peer_address)
         if aged is not None:
-            self._install(aged, "peer")
+            self._install(aged, Source.PEER)
         return aged is not None
 
     def _is_its_turn(self) -> bool:
@@ -170,7 +171,7 @@
         """Read once; if the store fails and the list has grown old, ask a peer."""
         match await self._store.read_endpoints():
             case Success(snapshot):
-                if self._install(AgedSnapshot(snapshot, 0.0), "store"):
+                if self._install(AgedSnapshot(snapshot, 0.0), Source.STORE):
                     self._hooks.changed()
                 if self.dependency.answered():
                     self._hooks.regained()
@@ -185,9 +186,9 @@
             return
         aged = await self._hooks.fetch(None)
         if aged is not None and aged.age_s < self._registry.age_s():
-            self._install(aged, "peer")
+            self._install(aged, Source.PEER)
 
-    def _install(self, aged: AgedSnapshot, source: str) -> bool:
+    def _install(self, aged: AgedSnapshot, source: Source) -> bool:
         """Install a list, log it if it changed anything, and return whether it did."""
         changed = self._registry.install(aged.snapshot, self._hooks.capacities(), aged.age_s)
         if changed:
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -26,9 +26,10 @@
 from springbridge_node.gateway.callers.answer import CallerAnswer
 from springbridge_node.gateway.callers.directory import AddressBook
 from springbridge_node.gateway.callers.ingress import CallerListener, IncomingRequest
-from springbridge_node.gateway.config.configuration_follower import STORE, ConfigurationFollower
+from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
 from springbridge_node.gateway.config.endpoint_follower import EndpointFollower, FollowerHooks
 from springbridge_node.gateway.config.platform_store import ConfigurationReader, PlatformStore
+from springbridge_node.gateway.config.source import Source
 from springbridge_node.gateway.config.store_readers import StoreReaders
 from springbridge_node.gateway.endpoints.pool import ConnectionPool
 from springbridge_node.gateway.endpoints.prober import EndpointProber
@@ -257,10 +258,10 @@
         """Return how many nodes share the retry budget and the connections to endpoints."""
         return max(1, len(self.membership.live()))
 
-    def _configuration_installed(self, index: RouteIndex, source: str) -> None:
+    def _configuration_installed(self, index: RouteIndex, source: Source) -> None:
         """Apply the new limits to callers, and push a version that the store delivered."""
         self.listener.apply(index.configuration.limits)
-        if source == STORE:
+        if source is Source.STORE:
             self._push()
 
     def _push(self) -> None:
--- /dev/null
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle_test.py
@@ -0,0 +1,62 @@
+"""Tests of lifecycle.py: a planned stop takes its steps in order and within the grace."""
+
+import asyncio
+from types import SimpleNamespace
+
+import pytest
+from testtools.assertions import assert_that
+from testtools.matchers import Equals, LessThan
+
+from springbridge_node.gateway.lifecycle import stop_planned
+
+GRACE_S = 0.6
+
+
+class Leaving:
+    """A gateway that notes the steps of its stop; each answer takes a time."""
+
+    def __init__(self):
+        self.settings = SimpleNamespace(grace_s=GRACE_S)
+        self.listener = SimpleNamespace(in_progress={"an answer"})
+        self.steps = []
+
+    def leave(self):
+        """Note the step."""
+        self.steps.append("leave")
+
+    def refuse_new(self):
+        """Note the step."""
+        self.steps.append("refuse")
+
+
+@pytest.fixture
+def gateway():
+    """Return a gateway with one request in progress."""
+    return Leaving()
+
+
+def stopped_after(gateway, answered_after_s):
+    """Stop a gateway and return how long it took."""
+
+    async def body():
+        loop = asyncio.get_running_loop()
+        began_s = loop.time()
+        loop.call_later(answered_after_s, gateway.listener.in_progress.clear)
+        await stop_planned(gateway)
+        gateway.steps.append("end")
+        return loop.time() - began_s
+
+    return asyncio.run(body())
+
+
+def test_a_node_leaves_before_it_refuses_and_ends_last(gateway):
+    stopped_after(gateway, 0.0)
+    assert_that(gateway.steps, Equals(["leave", "refuse", "end"]))
+
+
+def test_a_node_that_has_answered_all_still_serves_on_for_callers_with_old_addresses(gateway):
+    assert_that(stopped_after(gateway, 0.0) >= GRACE_S / 2, Equals(True))
+
+
+def test_a_node_does_not_wait_beyond_its_grace_for_an_answer(gateway):
+    assert_that(stopped_after(gateway, 20 * GRACE_S), LessThan(10 * GRACE_S))
