--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -1,28 +1,27 @@
 """Keeps the newest configuration in force, from the store's feed and from peers.
 
-Owns the configuration of this node. Relies on routing/freshness.py, which decides who reads the
-store. A few nodes wait at the store's feed, which delivers changes at once, and pass them on to the
-others. Digests carry the seconds since the version in force was last known to be the newest, so a
-node whose peers confirm its version leaves the store alone. A node that cannot reach the store gets
-new versions from its peers. A version is never replaced by an older one.
+Owns the configuration of this node. Relies on routing/store_freshness.py, which decides who reads
+the store. A few nodes wait at the store's feed, which delivers changes at once, and pass them on to
+the others. Digests carry the seconds since the version in force was last known to be the newest, so
+a node whose peers confirm its version leaves the store alone. A node that cannot reach the store
+gets new versions from its peers. A version is never replaced by an older one.
 """
 
 import asyncio
-import contextlib
 import time
 from collections.abc import Awaitable, Callable
 
 from returns.result import Failure, Success
 from springbridge.codes import Code
 from springbridge.routing.admission import RouteIndex
-from springbridge.routing.freshness import (
+from springbridge.routing.retry_after import without_configuration
+from springbridge.routing.store_freshness import (
     FEED_READERS,
     FEED_WAIT_S,
     LOOK_S,
     feed_pause_s,
     reads_configuration,
 )
-from springbridge.routing.retry_after import without_configuration
 
 from springbridge_node import logs
 from springbridge_node.gateway.config.dependency import Dependency
@@ -32,13 +31,11 @@
     ConfigurationReader,
     PlatformStore,
 )
+from springbridge_node.gateway.config.source import Source
 from springbridge_node.gateway.config.store_readers import StoreReaders
+from springbridge_node.periodic import pause
 
-# Where a version came from, in the log.
-STORE = "store"
-PEER = "peer"
-
-Installed = Callable[[RouteIndex, str], None]
+Installed = Callable[[RouteIndex, Source], None]
 FetchFromPeers = Callable[[int], Awaitable[ConfigurationDocument | None]]
 
 
@@ -106,7 +103,7 @@
         if version == self.version:
             self._confirmed_s = max(self._confirmed_s, self._clock() - age_s)
 
-    def offer(self, document: ConfigurationDocument, source: str) -> None:
+    def offer(self, document: ConfigurationDocument, source: Source) -> None:
         """Put a configuration in force if it is newer than the present one and can be read."""
         if document.version <= self.version:
             return
@@ -133,14 +130,7 @@
             self._feed_is_up = False
             if not self._watch.cancelled() and self._watch.exception():
                 logs.fault(self._watch.exception(), "configuration feed")
-            await self._pause()
-
-    async def _pause(self) -> None:
-        """Wait before the next read; refresh() cuts the wait short."""
-        # The timeout is the usual end of this wait, not an error.
-        with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._pause_s()):
-                await self._missed_changes.wait()
+            await pause(self._pause_s(), self._missed_changes)
 
     def _pause_s(self) -> float:
         """Return how long to wait before the next read, in seconds."""
@@ -152,7 +142,7 @@
         )
 
     def refresh(self) -> None:
-        """Read the store at once, because changes may have been missed."""
+        """Read the store at once, without the rest of a pause: changes may have been missed."""
         self._feed_is_up = False
         self._confirmed_s = float("-inf")
         self._missed_changes.set()
@@ -179,7 +169,7 @@
             return
         document = await fetch(self.version)
         if document is not None:
-            self.offer(document, PEER)
+            self.offer(document, Source.PEER)
         elif self.index is not None:
             self.refresh()
 
@@ -201,7 +191,7 @@
                 self._dependency.answered()
                 self._confirmed_s = self._clock()
                 if document is not None:
-                    self.offer(document, STORE)
+                    self.offer(document, Source.STORE)
                 return cursor
             case Failure(problem):
                 self._feed_is_up = False
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -1,4 +1,4 @@
-"""Tests of configuration_follower.py: what is in force, and when the store is read for it."""
+"""Tests of configuration_follower.py: which version is in force, and when the store is read."""
 
 import asyncio
 
@@ -6,20 +6,21 @@
 from returns.result import Failure, Success
 from springbridge.codes import Code
 from springbridge.problems import Problem
-from springbridge.routing.freshness import CONFIRMED_S, LOOK_S
 from springbridge.routing.records import Configuration
+from springbridge.routing.store_freshness import CONFIRMED_S, LOOK_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
 from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
 from springbridge_node.gateway.config.platform_store import ConfigurationDocument, ConfigurationNews
+from springbridge_node.gateway.config.source import Source
 
 VERSION = 3
 FOREVER_S = 60.0
 
 
 class Store:
-    """A store that counts its calls and answers or does not."""
+    """A store that counts its calls and, while it is up, answers them."""
 
     def __init__(self):
         self.up = True
@@ -34,13 +35,13 @@
         return Success(ConfigurationNews(1, document(VERSION)))
 
     async def await_configuration(self, cursor, wait_s):
-        """Wait without an end."""
+        """Wait longer than any test runs."""
         self.waits += 1
         await asyncio.sleep(FOREVER_S)
 
 
 class Readers:
-    """Whether this node reads for all, and how long it leaves that to others."""
+    """A fixed view of who reads the store, in place of the membership's."""
 
     def __init__(self, reads_for_all=False, is_starting=False, turn_s=0.0, round_s=0.0):
         self.reads_for_all = reads_for_all
@@ -143,7 +144,7 @@
     readers = Readers(is_starting=True)
 
     def told(follower):
-        follower.offer(document(VERSION), "peer")
+        follower.offer(document(VERSION), Source.PEER)
         follower.confirm(VERSION, 0.1)
 
     def no_longer(follower):
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 
 from springbridge.membership import Membership
+from springbridge.routing.store_freshness import OLDEST_AGE_S
 
 from springbridge_node import logs
 from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
@@ -23,9 +24,6 @@
 # measured; chosen as more than two beats. BEAT_S + STALL_S is below the 1.1 s for which peers'
 # confirmations count, so that a stall is noticed before the next confirmation would be wrong.
 STALL_S = 0.6
-# Largest age in seconds that is sent, for what was never confirmed: JSON has no infinity.
-# Derived: far beyond all limits on ages, which are seconds.
-MAX_SENT_AGE_S = 1e6
 
 
 class Heartbeats:
@@ -99,7 +97,7 @@
         """Count up this node's heartbeat and state what it has."""
         self._membership.beat(
             self._configuration.version,
-            min(MAX_SENT_AGE_S, self._configuration.age_s()),
+            min(OLDEST_AGE_S, self._configuration.age_s()),
             not self._endpoints.dependency.up,
             self._endpoints.seen(),
         )
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_discovery.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_discovery.py
@@ -9,7 +9,7 @@
 
 from returns.result import Failure, Success
 from springbridge.membership import Membership
-from springbridge.routing.freshness import FEED_READERS
+from springbridge.routing.store_freshness import FEED_READERS
 
 from springbridge_node import logs
 from springbridge_node.gateway.config.platform_store import PlatformStore
