--- a/deploy/node.py
+++ b/deploy/node.py
@@ -1,8 +1,9 @@
-"""Starts a node on the users' platform from the folder that the build has laid out."""
+"""Starts a node of the gateway on the platform, from the folder that the build has laid out."""
 
 from springbridge_node.gateway.early_signals import ignore_reload
 
 if __name__ == "__main__":
+    # Before the other imports: loading them takes long enough for a signal to come.
     ignore_reload()
     from springbridge_platform.main import main
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_client.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_client.py
@@ -23,6 +23,7 @@
 # Seconds that a peer has to reply. Not measured; chosen to stay under the 1.1 s for which a list
 # counts as confirmed.
 TIMEOUT_S = 0.8
+# The status of a peer that has what was asked for.
 OK = 200
 
 
