--- a/packages/springbridge/springbridge/membership_test.py
+++ b/packages/springbridge/springbridge/membership_test.py
@@ -1,4 +1,4 @@
-"""Tests of membership.py and freshness.py: who is alive, and who may serve."""
+"""Tests of membership.py and freshness.py: which nodes are alive, and which may serve."""
 
 import random
 from dataclasses import replace
@@ -130,9 +130,9 @@
     assert_that(view.find("a"), Equals(None))
 
 
-def names_told(view):
-    """Return the incarnations that a node's next digest names, itself left out."""
-    return {told.incarnation for told in view.digest()} - {view.me.incarnation}
+def names_in_digest(view):
+    """Return the incarnations in a node's next digest, its own left out."""
+    return {each.incarnation for each in view.digest()} - {view.me.incarnation}
 
 
 def test_a_silent_member_is_not_told_on(make_view, clock):
@@ -140,7 +140,7 @@
     view.merge([member("a", heartbeat=1), member("b", heartbeat=1)])
     clock.advance(SUSPECT_S + 0.1)
     view.merge([member("b", heartbeat=2)])
-    assert_that(names_told(view), Equals({"b"}))
+    assert_that(names_in_digest(view), Equals({"b"}))
 
 
 def test_that_a_member_has_ended_is_told_for_a_moment(make_view, clock):
@@ -148,15 +148,15 @@
     view.merge([member("a", heartbeat=1)])
     clock.advance(SUSPECT_S + 0.1)
     view.merge([member("a", heartbeat=1, phase=Phase.GONE)])
-    assert_that(names_told(view), Equals({"a"}))
+    assert_that(names_in_digest(view), Equals({"a"}))
     clock.advance(SUSPECT_S + 0.1)
-    assert_that(names_told(view), Equals(set()))
+    assert_that(names_in_digest(view), Equals(set()))
 
 
 @pytest.mark.parametrize("phase", [Phase.LIVE, Phase.LEAVING, Phase.GONE])
 def test_a_member_that_ended_does_not_come_back_by_hearsay(make_view, clock, phase):
     # Each node forgot it in its own time and learnt of it again from the others, for ever; what was
-    # told of members that had ended filled the digests in the end.
+    # relayed about members that had ended filled the digests in the end.
     views = listed_views(make_view, 6)
     gossip(views, 6, clock)
     last = member("ended", heartbeat=9, phase=phase)
@@ -167,7 +167,7 @@
         for view in views:
             view.forget_old()
     assert_that([view.find("ended") for view in views], Equals([None] * 6))
-    assert_that(any("ended" in names_told(view) for view in views), Equals(False))
+    assert_that(any("ended" in names_in_digest(view) for view in views), Equals(False))
 
 
 def test_members_are_suspected_after_some_lost_digests_and_forgotten_much_later():
@@ -245,9 +245,9 @@
     relay = Membership(Member("m", "m", "10.0.0.2:1", "", "a"), clock, random.Random(1))
     relay.merge([reader])
     clock.advance(1.0)
-    told = next(member for member in relay.digest() if member.incarnation == "r")
-    assert_that(round(told.endpoint_snapshot.age_s, 3), Equals(1.1))
-    assert_that(round(told.confirmed_ago_s, 3), Equals(1.2))
+    relayed = next(member for member in relay.digest() if member.incarnation == "r")
+    assert_that(round(relayed.endpoint_snapshot.age_s, 3), Equals(1.1))
+    assert_that(round(relayed.confirmed_ago_s, 3), Equals(1.2))
 
 
 def test_one_digest_crosses_the_border_and_the_others_stay(clock):
