--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants.py
@@ -109,7 +109,7 @@
     Mutant(
         "last slot stays preemptible",
         f"{LIBRARY}/classes/slots/endpoint_slots.py",
-        "if fixed and self.fixed_below_top() + 1",
+        "if ask.is_fixed and self.fixed_below_top() + 1",
         "if False and self.fixed_below_top() + 1",
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_fixed_lower_work_leaves_the_last_slot",
     ),
--- a/packages/springbridge/springbridge/classes/decisions.py
+++ b/packages/springbridge/springbridge/classes/decisions.py
@@ -46,6 +46,11 @@
     primary: bool
     preemptible: bool
 
+    @property
+    def is_fixed(self) -> bool:
+        """Return whether it is work below the top tier that may not be preempted."""
+        return not self.preemptible and self.tier is not Tier.URGENT
+
 
 class Outcome(IntEnum):
     """How a slot was used.
--- a/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
@@ -113,19 +113,15 @@
 
         An ask that is larger than the memory runs alone.
         """
-        fixed = not ask.preemptible and ask.tier is not Tier.URGENT
-        if fixed and self.fixed_below_top() + 1 >= self.beside_fixed():
+        if ask.is_fixed and self.fixed_below_top() + 1 >= self.beside_fixed():
             return False
         used = sum(run.tokens for run in self.running.values())
         return not used or used + self.tokens(ask) <= self._token_capacity
 
     def fixed_below_top(self) -> int:
-        """Return the slots held by lower-tier work that may not be preempted."""
-        return sum(
-            not run.ask.preemptible and run.ask.tier is not Tier.URGENT
-            for ask_id, run in self.running.items()
-            if ask_id != self.share.holder
-        )
+        """Return the slots held by fixed work, without the extra one of the minimum share."""
+        fixed = [ask_id for ask_id, run in self.running.items() if run.ask.is_fixed]
+        return len(fixed) - (self.share.holder in fixed)
 
     def tokens(self, ask: Ask) -> float:
         """Return the tokens that an ask is expected to take up."""
--- a/packages/springbridge/springbridge/classes/slots/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -65,7 +65,7 @@
     Attributes:
       endpoint: Name of the endpoint.
       queue: The asks that wait.
-      slots: The slots and what is learnt about them.
+      slots: The slots and what is learnt about them; running, limits and health are parts of it.
     """
 
     def __init__(
@@ -90,7 +90,6 @@
         self.running = self.slots.running
         self.limits = self.slots.limits
         self.health = self.slots.health
-        self.share = self.slots.share
         self._clock = clock
         self._invariants = invariants
 
@@ -102,7 +101,7 @@
             return [self._grant(ask)]
         if ask.ask_id in self.queue:
             return [Queued(ask.ask_id, ask.node, self.slots.queued_wait_s(ask, now_s))]
-        if ask.tier is not Tier.URGENT and self.share.pressed(now_s):
+        if ask.tier is not Tier.URGENT and self.slots.share.pressed(now_s):
             return [self._ask_under_pressure(ask, now_s)]
         self.queue.push(ask, self.slots.tokens(ask), now_s)
         decisions = list(self._grant_free_slots(now_s))
@@ -181,10 +180,6 @@
         """Return the ids of all asks and slots."""
         return set(self.running) | {ask.ask_id for ask in self.queue.waiting()}
 
-    def predicted_wait_s(self, tier: Tier) -> float:
-        """Return how long a new ask of the tier would wait for a slot."""
-        return self.slots.predicted_wait_s(tier, self._clock())
-
     # An ask that found no free slot.
 
     def _place_waiting(self, ask: Ask, now_s: float) -> Iterator[Decision]:
@@ -211,7 +206,7 @@
     def _give_up(self, ask: Ask, now_s: float) -> Iterator[Decision]:
         """Refuse a waiting ask; one of the top tier after all lower tiers have made way."""
         if ask.tier is Tier.URGENT:
-            self.share.press(now_s)
+            self.slots.share.press(now_s)
             yield from self._refuse_below(Tier.URGENT)
             yield from self._preempt_below(Tier.URGENT)
             self._check_top_tier()
@@ -229,12 +224,13 @@
 
     def _refuse(self, ask: Ask) -> Refusal:
         self.queue.discard(ask.ask_id)
-        return Refusal(ask.ask_id, ask.node, after_wait(self.predicted_wait_s(ask.tier)))
+        wait_s = self.slots.predicted_wait_s(ask.tier, self._clock())
+        return Refusal(ask.ask_id, ask.node, after_wait(wait_s))
 
     def _ask_under_pressure(self, ask: Ask, now_s: float) -> Decision:
         """Give a lower-tier ask the extra slot or refuse it at once, as it may not wait."""
         suspended = self.slots.for_tier(ask.tier, now_s) == 0
-        if suspended or not self.share.claim(ask.ask_id, ask.request_class, now_s):
+        if suspended or not self.slots.share.claim(ask.ask_id, ask.request_class, now_s):
             return self._refuse(ask)
         self.slots.hold(replace(ask, preemptible=False), now_s)
         return self._grant(ask)
@@ -270,7 +266,7 @@
 
     def _start(self, ask: Ask, now_s: float) -> Grant:
         self.slots.hold(ask, now_s)
-        if not ask.preemptible and ask.tier is not Tier.URGENT:
+        if ask.is_fixed:
             self._check_last_slot()
         return self._grant(ask)
 
--- a/packages/springbridge/springbridge/classes/slots/slot_client.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -149,15 +149,12 @@
         if scheduler is not None and scheduler != self._route(endpoint):
             self._send_release(ask_id, scheduler)
 
-    def take(self, decision: Decision) -> None:
-        """Take in a decision of a scheduler."""
-        self._take(decision)
-
     @singledispatchmethod
-    def _take(self, decision: Decision) -> None:
+    def take(self, decision: Decision) -> None:
+        """Act on a decision of a scheduler."""
         raise TypeError(f"unknown decision {decision!r}")
 
-    @_take.register
+    @take.register
     def _(self, grant: Grant) -> None:
         pending = self._pending.pop(grant.ask_id, None)
         if pending is None or pending.granted.done():
@@ -170,7 +167,7 @@
         endpoint = pending.attempt.endpoint_named(ask.endpoint)
         pending.granted.set_result(Success(Slot(grant.ask_id, endpoint)))
 
-    @_take.register
+    @take.register
     def _(self, queued: Queued) -> None:
         pending = self._pending.get(queued.ask_id)
         if pending is not None:
@@ -178,7 +175,7 @@
             self._used.note(ask, FULL)
             self._ask_others(pending)
 
-    @_take.register
+    @take.register
     def _(self, refusal: Refusal) -> None:
         pending = self._pending.pop(refusal.ask_id, None)
         if pending is None or pending.granted.done():
@@ -193,7 +190,7 @@
         else:
             self._refuse(pending)
 
-    @_take.register
+    @take.register
     def _(self, preemption: Preemption) -> None:
         held = self._held.get(preemption.ask_id)
         if held is not None:
