--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -11,9 +11,6 @@
 from grpclib.server import Server
 from returns.result import Failure, Success
 from springbridge.classes.binding import Bindings
-from springbridge.classes.decisions import (
-    Inventory,
-)
 from springbridge.classes.entities import EndpointKind
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import InstanceList, TableStore
@@ -183,10 +180,6 @@
         heard = {member.incarnation for member in self.membership.reachable()}
         self.hosts.drop_nodes(lambda node: node not in heard and node != self.incarnation)
 
-    def _send_inventories(self) -> None:
-        for scheduler, ask_ids in self.slots.inventory().items():
-            self.send(scheduler, Inventory(self.incarnation, tuple(ask_ids)))
-
     def _tidy(self) -> None:
         """Forget what other nodes own now and members that are long gone."""
         self.membership.forget_old()
@@ -271,7 +264,7 @@
             self.limits.renew_in_use: RENEW_TICKS,
             self._gossip: GOSSIP_TICKS,
             self._drop_silent: GOSSIP_TICKS,
-            self._send_inventories: INVENTORY_TICKS,
+            self.slots.send_inventories: INVENTORY_TICKS,
             self._tidy: TIDY_TICKS,
         }
         for tick in itertools.count():
--- a/packages/springbridge-standins/springbridge_standins/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants.py
@@ -153,7 +153,7 @@
         f"{LIBRARY}/classes/placement.py",
         "request_class.failure_domains & customer.failure_domains",
         "request_class.failure_domains | customer.failure_domains",
-        f"{LIBRARY}/classes/table/sheet_test.py::test_places_are_the_intersection",
+        f"{LIBRARY}/classes/placement_test.py::test_places_are_the_intersection",
     ),
     Mutant(
         "freshness before serving",
--- a/packages/springbridge/springbridge/classes/slots/slot_client.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -1,10 +1,10 @@
 """The entry node's side of the slots: ask schedulers, take the first grant, give slots back.
 
 It owns the asks of the attempts that wait and the slots that this node holds. It relies on a route
-from an endpoint to the node that schedules it; messages may get lost, and resend() and inventory()
-make up for that. Which endpoints are asked is decided in asking_order.py. An attempt is refused
-once every endpoint has refused it or its wait is over; until then, an endpoint that refused is
-asked again.
+from an endpoint to the node that schedules it; messages may get lost, and resend() and
+send_inventories() make up for that. Which endpoints are asked is decided in asking_order.py. An
+attempt is refused once every endpoint has refused it or its wait is over; until then, an endpoint
+that refused is asked again.
 """
 
 import asyncio
@@ -133,8 +133,8 @@
             if held.scheduler is not None:
                 self._send(held.scheduler, Hold(held.ask))
 
-    def inventory(self) -> dict[str, list[str]]:
-        """Return the ids of this node's asks and slots at each scheduler."""
+    def send_inventories(self) -> None:
+        """Report to each scheduler what this node has there, so that it frees the rest."""
         found: dict[str, list[str]] = {}
         for ask_id, scheduler in self._schedulers.items():
             if scheduler is not None:
@@ -142,7 +142,8 @@
         for ask_id, held in self._held.items():
             if held.scheduler is not None:
                 found.setdefault(held.scheduler, []).append(ask_id)
-        return found
+        for scheduler, ask_ids in found.items():
+            self._send(scheduler, Inventory(self._me, tuple(ask_ids)))
 
     def _leave(self, ask_id: str, scheduler: str | None, endpoint: str) -> None:
         """Withdraw an ask or slot from a scheduler whose role another node has taken over."""
