--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -244,7 +244,6 @@
             self.slots,
             self.roles,
             self.gossip,
-            self.send,
         )
         running: list[Awaitable[None]] = [
             self.config.run(),
--- a/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
+++ b/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
@@ -2,10 +2,8 @@
 
 import asyncio
 import itertools
-from collections.abc import Callable
 from dataclasses import dataclass
 
-from springbridge.classes.decisions import Inventory
 from springbridge.classes.limits import LEASE_S
 from springbridge.classes.slots.slot_client import SlotClient
 from springbridge.membership import GOSSIP_INTERVAL_S, Membership
@@ -13,7 +11,6 @@
 from springbridge_node.class_router.endpoints.scheduler_host import TICK_S, SchedulerHost
 from springbridge_node.class_router.endpoints.scheduler_roles import SchedulerRoles
 from springbridge_node.class_router.peers.gossip import Gossip
-from springbridge_node.class_router.peers.messages import Message
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 from springbridge_node.periodic import guarded
 
@@ -38,7 +35,6 @@
     slots: SlotClient
     roles: SchedulerRoles
     gossip: Gossip
-    send: Callable[[str, Message], None]
 
     async def run(self) -> None:
         """Do what is due until cancelled."""
@@ -48,7 +44,7 @@
             self.limits.renew_in_use: _ticks(RENEW_INTERVAL_S),
             self.gossip.gossip: _ticks(GOSSIP_INTERVAL_S),
             self.drop_silent: _ticks(GOSSIP_INTERVAL_S),
-            self.send_inventories: _ticks(INVENTORY_INTERVAL_S),
+            self.slots.send_inventories: _ticks(INVENTORY_INTERVAL_S),
             self.tidy: _ticks(TIDY_INTERVAL_S),
         }
         for tick in itertools.count():
@@ -63,12 +59,6 @@
         known.add(self.membership.me.incarnation)
         self.hosts.drop_nodes(lambda node: node not in known)
 
-    def send_inventories(self) -> None:
-        """Tell each scheduler which asks and slots this node has there."""
-        me = self.membership.me.incarnation
-        for scheduler, ask_ids in self.slots.inventory().items():
-            self.send(scheduler, Inventory(me, tuple(ask_ids)))
-
     def tidy(self) -> None:
         """Forget what other nodes own now and members that are long gone."""
         me = self.membership.me.incarnation
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats_test.py
@@ -6,10 +6,10 @@
 
 import pytest
 from springbridge.membership import Member, Membership, SnapshotStatus
+from springbridge.routing.store_freshness import CONFIRMED_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, LessThan
 
-from springbridge_node.gateway.config.configuration_follower import CONFIRMED_S
 from springbridge_node.gateway.peers import heartbeats as module
 from springbridge_node.gateway.peers.heartbeats import BEAT_S, STALL_S, Heartbeats
 
--- a/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
@@ -109,7 +109,7 @@
     Mutant(
         "last slot stays preemptible",
         f"{LIBRARY}/classes/slots/endpoint_slots.py",
-        "if fixed and self.fixed_below_top() + 1",
+        "if ask.is_fixed and self.fixed_below_top() + 1",
         "if False and self.fixed_below_top() + 1",
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_fixed_lower_work_leaves_the_last_slot",
     ),
@@ -153,7 +153,7 @@
         f"{LIBRARY}/classes/placement.py",
         "request_class.failure_domains & customer.failure_domains",
         "request_class.failure_domains | customer.failure_domains",
-        f"{LIBRARY}/classes/table/sheet_test.py::test_places_are_the_intersection",
+        f"{LIBRARY}/classes/placement_test.py::test_places_are_the_intersection",
     ),
     Mutant(
         "freshness before serving",
--- a/packages/springbridge/springbridge/classes/slots/slot_client.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -1,10 +1,10 @@
 """The entry node's side of the slots: ask schedulers, take the first grant, give slots back.
 
 It owns the asks of the attempts that wait and the slots that this node holds. It relies on a route
-from an endpoint to the node that schedules it; messages may get lost, and resend() and inventory()
-make up for that. Which endpoints are asked is decided in asking_order.py. An attempt is refused
-once every endpoint has refused it or its wait is over; until then, an endpoint that refused is
-asked again.
+from an endpoint to the node that schedules it; messages may get lost, and resend() and
+send_inventories() make up for that. Which endpoints are asked is decided in asking_order.py. An
+attempt is refused once every endpoint has refused it or its wait is over; until then, an endpoint
+that refused is asked again.
 """
 
 import asyncio
@@ -133,8 +133,8 @@
             if held.scheduler is not None:
                 self._send(held.scheduler, Hold(held.ask))
 
-    def inventory(self) -> dict[str, list[str]]:
-        """Return the ids of this node's asks and slots at each scheduler."""
+    def send_inventories(self) -> None:
+        """Report to each scheduler what this node has there, so that it frees the rest."""
         found: dict[str, list[str]] = {}
         for ask_id, scheduler in self._schedulers.items():
             if scheduler is not None:
@@ -142,22 +142,20 @@
         for ask_id, held in self._held.items():
             if held.scheduler is not None:
                 found.setdefault(held.scheduler, []).append(ask_id)
-        return found
+        for scheduler, ask_ids in found.items():
+            self._send(scheduler, Inventory(self._me, tuple(ask_ids)))
 
     def _leave(self, ask_id: str, scheduler: str | None, endpoint: str) -> None:
         """Withdraw an ask or slot from a scheduler whose role another node has taken over."""
         if scheduler is not None and scheduler != self._route(endpoint):
             self._send_release(ask_id, scheduler)
 
-    def take(self, decision: Decision) -> None:
-        """Take in a decision of a scheduler."""
-        self._take(decision)
-
     @singledispatchmethod
-    def _take(self, decision: Decision) -> None:
+    def take(self, decision: Decision) -> None:
+        """Act on a decision of a scheduler."""
         raise TypeError(f"unknown decision {decision!r}")
 
-    @_take.register
+    @take.register
     def _(self, grant: Grant) -> None:
         pending = self._pending.pop(grant.ask_id, None)
         if pending is None or pending.granted.done():
@@ -170,7 +168,7 @@
         endpoint = pending.attempt.endpoint_named(ask.endpoint)
         pending.granted.set_result(Success(Slot(grant.ask_id, endpoint)))
 
-    @_take.register
+    @take.register
     def _(self, queued: Queued) -> None:
         pending = self._pending.get(queued.ask_id)
         if pending is not None:
@@ -178,7 +176,7 @@
             self._used.note(ask, FULL)
             self._ask_others(pending)
 
-    @_take.register
+    @take.register
     def _(self, refusal: Refusal) -> None:
         pending = self._pending.pop(refusal.ask_id, None)
         if pending is None or pending.granted.done():
@@ -193,7 +191,7 @@
         else:
             self._refuse(pending)
 
-    @_take.register
+    @take.register
     def _(self, preemption: Preemption) -> None:
         held = self._held.get(preemption.ask_id)
         if held is not None:
