--- a/packages/springbridge-node/springbridge_node/class_router/__init__.py
+++ b/packages/springbridge-node/springbridge_node/class_router/__init__.py
@@ -15,5 +15,5 @@
   endpoints/model_client, service_client    HTTP to the endpoint
 
 The way of a change of the table: operators/operators_http, config/editing, config/table_store; then
-peers/gossip announces the version and config/config_sync fetches the change at every other node.
+peers/digest_sender announces the version, and config/config_sync of every other node fetches the change.
 """
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -40,7 +40,7 @@
 from springbridge_node.class_router.housekeeping import Housekeeping
 from springbridge_node.class_router.node_parts import NodeParts
 from springbridge_node.class_router.operators.operators_http import OperatorParts
-from springbridge_node.class_router.peers.gossip import Gossip
+from springbridge_node.class_router.peers.digest_sender import DigestSender
 from springbridge_node.class_router.peers.message_intake import IntakeParts, MessageIntake
 from springbridge_node.class_router.peers.messages import Message
 from springbridge_node.class_router.peers.peer_links import NODE_KEY, TOKEN_KEY, PeerLinks
@@ -104,7 +104,7 @@
         )
         self.limits = LimitGate(self.membership, self.clock, lambda: self.config.table, self.send)
         self.links = PeerLinks(self._metadata, self._link_opened, self._link_broke)
-        self.gossip = Gossip(self.membership, self.config, self.links, self.clock)
+        self.digests = DigestSender(self.membership, self.config, self.links, self.clock)
 
     def _wire_slots(self) -> None:
         """Wire the schedulers that run here and the slots that this node asks others for."""
@@ -156,7 +156,7 @@
             self.at_most_once,
         )
         orders = Orders(self.store, self.model_client, self.incarnation, self.clock)
-        editor = Editor(self.store, self.config, self.membership, self.gossip.announce)
+        editor = Editor(self.store, self.config, self.membership, self.digests.announce)
         self.operator_parts = OperatorParts(
             self.parts, self.store, editor, orders, self.hosts, self.links, self.invariants
         )
@@ -187,7 +187,7 @@
 
     def _link_opened(self, address: str) -> None:
         """Introduce this node to the peer, then repeat what may have been lost."""
-        self.gossip.introduce(address)
+        self.digests.introduce(address)
         self.slots.resend()
 
     def _link_broke(self, address: str) -> None:
@@ -243,7 +243,7 @@
             self.hosts,
             self.slots,
             self.roles,
-            self.gossip,
+            self.digests,
             self.send,
         )
         running: list[Awaitable[None]] = [
@@ -263,13 +263,13 @@
         """
         logs.event("node.leaving", instance=self.settings.instance, running=self.parts.running)
         self.membership.leave()
-        self.gossip.announce()
+        self.digests.announce()
         await asyncio.sleep(self.settings.keep_addresses_s + LEAVE_MARGIN_S)
         self.parts.refusing = True
         while self.parts.running or self.at_most_once.tasks:
             await asyncio.sleep(DRAIN_POLL_S)
         await asyncio.sleep(LINGER_S)
-        self.gossip.say_goodbye()
+        self.digests.say_goodbye()
         await asyncio.sleep(DRAIN_POLL_S)
 
     async def _end_tasks(self) -> None:
--- a/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
+++ b/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
@@ -12,7 +12,7 @@
 
 from springbridge_node.class_router.endpoints.scheduler_host import TICK_S, SchedulerHost
 from springbridge_node.class_router.endpoints.scheduler_roles import SchedulerRoles
-from springbridge_node.class_router.peers.gossip import Gossip
+from springbridge_node.class_router.peers.digest_sender import DigestSender
 from springbridge_node.class_router.peers.messages import Message
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 from springbridge_node.periodic import guarded
@@ -37,7 +37,7 @@
     hosts: SchedulerHost
     slots: ScheduledSlots
     roles: SchedulerRoles
-    gossip: Gossip
+    digests: DigestSender
     send: Callable[[str, Message], None]
 
     async def run(self) -> None:
@@ -46,7 +46,7 @@
             self.roles.check: 1,
             self.hosts.tick: 1,
             self.limits.renew_in_use: _ticks(RENEW_INTERVAL_S),
-            self.gossip.gossip: _ticks(GOSSIP_INTERVAL_S),
+            self.digests.gossip: _ticks(GOSSIP_INTERVAL_S),
             self.drop_silent: _ticks(GOSSIP_INTERVAL_S),
             self.send_inventories: _ticks(INVENTORY_INTERVAL_S),
             self.tidy: _ticks(TIDY_INTERVAL_S),
--- a/packages/springbridge-node/springbridge_node/class_router/peers/gossip.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/digest_sender.py
@@ -12,8 +12,8 @@
 NEVER_CONFIRMED_AGO_S = 1e9
 
 
-class Gossip:
-    """The digests that this node sends."""
+class DigestSender:
+    """Sends digests; each counts up this node's heartbeat first."""
 
     def __init__(
         self,
