--- a/packages/springbridge-node/springbridge_node/class_router/__init__.py
+++ b/packages/springbridge-node/springbridge_node/class_router/__init__.py
@@ -14,6 +14,6 @@
   requests/slot_attempt       one attempt; progress: stalls; resumption: reads and resumes streams
   endpoints/model_client, service_client    HTTP to the endpoint
 
-The way of a change of the table: operators/operators_http, config/editing, config/table_store; then
-peers/digest_sender announces the version, and config/config_sync of every other node fetches the change.
+The way of a change of the table: operators/operators_http, config/editing, config/table_store. Then
+peers/digest_sender announces the version, and config/config_sync of every other node fetches it.
 """
