--- a/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
+++ b/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
@@ -10,7 +10,7 @@
 
 from springbridge_node.class_router.endpoints.scheduler_host import TICK_S, SchedulerHost
 from springbridge_node.class_router.endpoints.scheduler_roles import SchedulerRoles
-from springbridge_node.class_router.peers.gossip import Gossip
+from springbridge_node.class_router.peers.digest_sender import DigestSender
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 from springbridge_node.periodic import guarded
 
@@ -34,7 +34,7 @@
     hosts: SchedulerHost
     slots: SlotClient
     roles: SchedulerRoles
-    gossip: Gossip
+    digests: DigestSender
 
     async def run(self) -> None:
         """Do what is due until cancelled."""
@@ -42,7 +42,7 @@
             self.roles.check: 1,
             self.hosts.tick: 1,
             self.limits.renew_in_use: _ticks(RENEW_INTERVAL_S),
-            self.gossip.gossip: _ticks(GOSSIP_INTERVAL_S),
+            self.digests.gossip: _ticks(GOSSIP_INTERVAL_S),
             self.drop_silent: _ticks(GOSSIP_INTERVAL_S),
             self.slots.send_inventories: _ticks(INVENTORY_INTERVAL_S),
             self.tidy: _ticks(TIDY_INTERVAL_S),
