--- a/packages/springbridge-standins/springbridge_standins/free_addresses.py
+++ b/packages/springbridge-standins/springbridge_standins/free_addresses.py
@@ -4,7 +4,7 @@
 import itertools
 import os
 import socket
-from collections.abc import Mapping
+from collections.abc import Iterator, Mapping
 
 from springbridge.classes.table.rows import Cells
 
@@ -14,6 +14,12 @@
 LAST_PORT = 32_000
 # Ports that a process tries, so that worlds side by side take others.
 PORTS_PER_PROCESS = 200
+# First of the networks 127.N.0 for the nodes of a run; stand-ins and small fleets use 127.0.0.
+FIRST_NETWORK = 2
+# Networks to choose from.
+NETWORKS = 200
+# Any port that no node listens on; who binds it on the last IP of a network holds the network.
+LOCK_PORT = 9463
 
 
 def _candidate_ports():
@@ -58,6 +64,25 @@
     return found
 
 
+@contextlib.contextmanager
+def loopback_network(seed: int) -> Iterator[str]:
+    """Hold the network 127.N.0 of a seed, or the next one that no other run holds.
+
+    Nodes have a port that is the same on each IP, so runs side by side need networks of their own,
+    also if their seeds are the same.
+    """
+    for number in range(seed, seed + NETWORKS):
+        network = f"127.{FIRST_NETWORK + number % NETWORKS}.0"
+        with socket.socket() as lock:
+            try:
+                lock.bind((f"{network}.254", LOCK_PORT))
+            except OSError:
+                continue
+            yield network
+            return
+    raise RuntimeError("no loopback network is free")
+
+
 def with_free_addresses(rows: Mapping[str, Cells]) -> dict[str, Cells]:
     """Return the rows with a free address for each engine."""
     return {
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/soak.py
@@ -16,7 +16,7 @@
 
 import typer
 
-from springbridge_standins.free_addresses import free_ports
+from springbridge_standins.free_addresses import free_ports, loopback_network
 from springbridge_standins.gateway.engine import EngineStandIn
 from springbridge_standins.gateway.fleet import configuration
 from springbridge_standins.gateway.soak.callers import call_forever
@@ -32,10 +32,6 @@
 
 # How many times as long a soak may go on, on a machine too busy to reach enough in its time.
 LONGEST = 6
-# First of the networks 127.N.0 for nodes; stand-ins and the tests' small fleets use 127.0.0.
-FIRST_NET = 2
-# Networks to choose from by the seed, so that soaks side by side don't share addresses.
-NETS = 200
 
 
 async def run_soak(
@@ -57,7 +53,7 @@
         await stack.enter_async_context(running(soak.store))
         await _start_engines(soak, stack)
         await soak.store.put("op", "config", configuration(soak.version))
-        net = f"127.{FIRST_NET + seed % NETS}.0"
+        net = stack.enter_context(loopback_network(seed))
         await _start_nodes(soak, stack, folder, [f"{net}.{number + 1}" for number in range(nodes)])
         tasks = [asyncio.ensure_future(call_forever(soak, number)) for number in range(callers)]
         tasks.append(asyncio.ensure_future(harm_forever(soak)))
