--- a/packages/springbridge-standins/springbridge_standins/capacity/capacity.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/capacity.py
@@ -5,17 +5,11 @@
 What whole nodes cost (processor, memory, bytes, calls) has to be measured on a running fleet.
 """
 
-import json
-from dataclasses import asdict
-from pathlib import Path
-
 from springbridge.membership import DIGEST_LIMIT
 
 from springbridge_standins.capacity.fit import Slope
 from springbridge_standins.capacity.library import library_slopes
 
-RESULTS = Path(__file__).parents[4] / "bench" / "capacity.json"
-
 
 def show(slope: Slope) -> None:
     """Print one slope."""
@@ -29,9 +23,7 @@
 
 
 def main() -> None:
-    """Measure all slopes, print them and write bench/capacity.json."""
-    slopes = library_slopes()
-    for slope in slopes:
+    """Measure all slopes and print them."""
+    for slope in library_slopes():
         show(slope)
     print(f"a digest holds at most {DIGEST_LIMIT} members")
-    RESULTS.write_text(json.dumps([asdict(slope) for slope in slopes], indent=1) + "\n")
