--- a/packages/springbridge-node/springbridge_node/docs_test.py
+++ b/packages/springbridge-node/springbridge_node/docs_test.py
@@ -52,8 +52,8 @@
 NAMES_IN_A_MODULE = re.compile(f"{NAMES} in {MODULE}|{MODULE}, {NAMES}")
 LOG_TYPE = re.compile(
     r"(?:springbridge\.)?"
-    r"((?:node|request|engine|engines|member|dependency|configuration|settings|scheduler|table|order"
-    r"|invariant)\.[a-z_]+|fault|library)\Z"
+    r"((?:node|request|engine|engines|member|peers|dependency|configuration|settings|scheduler|table"
+    r"|order|invariant)\.[a-z_]+|fault|library)\Z"
 )
 METRIC = re.compile(r"springbridge_[a-z_]+(?=\{|\Z)")
 CLASS_NAME = re.compile(r"(?:(?:[A-Z][a-z]+){2,}(?:\.\w+)?|[A-Z][a-z]+\.\w+)\Z")
