--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -25,7 +25,7 @@
 from tornado.httpserver import HTTPServer
 
 from springbridge_node import logs
-from springbridge_node.class_router import metrics
+from springbridge_node.class_router import class_log, metrics
 from springbridge_node.class_router.callers.http_app import make_application
 from springbridge_node.class_router.config.config_sync import ConfigSync
 from springbridge_node.class_router.config.editing import Editor, Orders
@@ -86,7 +86,7 @@
         self.listing = listing
         self.clock = time.monotonic
         self.incarnation = f"{settings.instance}-{secrets.token_hex(4)}"
-        self.invariants = Invariants(logs.violation, settings.abort_on_violation)
+        self.invariants = Invariants(class_log.violation, settings.abort_on_violation)
         self._metadata = {TOKEN_KEY: settings.peer_token, NODE_KEY: self.incarnation}
         self._wire_peers()
         self._wire_slots()
@@ -212,7 +212,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
-        logs.start(self.settings.instance, self.incarnation)
+        class_log.start(self.settings.instance, self.incarnation)
         peer_server = Server([self.peer_service])
         host, port = split(self.settings.peer_address)
         await peer_server.start(host, port)
