--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -1,7 +1,11 @@
-"""Admission by rate and concurrency at an entry node, from leases of the limits' owners."""
+"""Admission by rate and concurrency: leases that this node has from the limits' owners.
+
+Also answers other nodes for the limits that this node owns. The arithmetic of leases and shares is
+the library's (springbridge.classes.limits); this module waits, sends and remembers.
+"""
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
 from returns.result import Failure, Result, Success
@@ -20,11 +24,12 @@
 # measured.
 IDLE_KEEP_S = 60.0
 
+# Customer and class, which name a limit as they name a share in the table.
 Key = tuple[str, str]
 
 
 class LimitGate:
-    """Entry node's and owner's side of all limits."""
+    """All limits: those that requests here run into, and those that this node owns."""
 
     def __init__(
         self,
@@ -33,7 +38,7 @@
         table: Callable[[], Table],
         send: Callable[[str, Message], None],
     ):
-        """Start with no lease."""
+        """Start with no lease, neither taken nor given."""
         self._membership = membership
         self._clock = clock
         self._table = table
@@ -43,9 +48,11 @@
         self._answers: dict[Key, asyncio.Future[None]] = {}
 
     async def start(self, share: Share) -> Result[NodeLimit, Problem]:
-        """Admit one request of a customer and class, or return the limit it ran into.
+        """Admit one request of a customer and class, waiting for a lease if there is none.
 
-        The caller has to finish() the limit that it gets.
+        Returns:
+          The limit, which the caller has to finish(), see finishing(); or RATE_LIMITED or
+          CONCURRENCY_LIMITED with a time to come back.
         """
         key = (share.customer, share.request_class)
         limit = self._limits.setdefault(key, NodeLimit(share))
@@ -61,10 +68,11 @@
         return Failure(limit.refusal())
 
     async def _renew(self, key: Key, limit: NodeLimit) -> bool:
-        """Wait for a lease, or take the equal part if the owner does not answer.
+        """Wait for a lease, or fall back to the equal part if the owner does not answer.
 
         Returns:
-          Whether the ask was made here; one that was under way did not count this request.
+          Whether this request asked for the lease. One that others had asked for was sized without
+          it, so this request has to try once more.
         """
         answer = self._answers.get(key)
         asks = answer is None
@@ -81,7 +89,7 @@
         return asks
 
     def _answered(self, key: Key) -> None:
-        """Let those who wait for a lease go on."""
+        """Wake the requests that wait for a lease."""
         answer = self._answers.pop(key, None)
         if answer is not None and not answer.done():
             answer.set_result(None)
@@ -109,7 +117,7 @@
         self._answered(key)
 
     def renew_in_use(self) -> None:
-        """Renew the leases of all limits in use, so that their owners keep counting the places."""
+        """Renew the leases of all limits in use; their owners count running requests by them."""
         me = self._membership.me.incarnation
         for key, limit in self._limits.items():
             holder = self._owner_of(*key)
@@ -136,8 +144,8 @@
 
 
 @contextmanager
-def finishing(limit: NodeLimit):
-    """Give the place back at the end."""
+def finishing(limit: NodeLimit) -> Iterator[None]:
+    """Give the request's place under the limit back at the end."""
     try:
         yield
     finally:
