--- a/packages/springbridge-node/springbridge_node/docs_test.py
+++ b/packages/springbridge-node/springbridge_node/docs_test.py
@@ -8,6 +8,7 @@
 import re
 from collections.abc import Iterator
 from functools import cache
+from math import isclose
 from pathlib import Path
 
 import pytest
@@ -47,6 +48,8 @@
 MODULE_FILE = re.compile(r"(?!\*)[\w./-]*\w\.(?:py|proto|toml|sh|json|csv|txt)\Z")
 DOTTED = re.compile(r"springbridge(?:_node|_ctl|_standins|_platform)?(?:\.\w+)+\Z")
 CONSTANT = re.compile(r"[A-Z][A-Z0-9]*(?:_[A-Z0-9]+)+\Z")
+FIGURE = re.compile(r"`([A-Z][A-Z0-9_]+)` (\d+(?:\.\d+)?)(?: (ms|KiB)\b)?")
+UNITS = {"": 1.0, "ms": 0.001, "KiB": 1024.0}
 NAMES = r"((?:`[A-Za-z_]+`(?:, | and )?)+)"
 MODULE = r"\[([^\]]+\.py)\]"
 NAMES_IN_A_MODULE = re.compile(f"{NAMES} in {MODULE}|{MODULE}, {NAMES}")
@@ -124,6 +127,29 @@
     return frozenset(found)
 
 
+@cache
+def constant_values() -> dict[str, set[float]]:
+    """Return the numbers that modules assign to each constant; one name may stand in several."""
+    found: dict[str, set[float]] = {}
+    for path in python_files():
+        for node in ast.parse(path.read_text()).body:
+            if not isinstance(node, ast.Assign) or not isinstance(node.targets[0], ast.Name):
+                continue
+            if is_arithmetic(node.value):
+                value = float(eval(ast.unparse(node.value)))
+                found.setdefault(node.targets[0].id, set()).add(value)
+    return found
+
+
+def is_arithmetic(value: ast.expr) -> bool:
+    """Return whether an expression has numbers and operators only, so that it can be worked out."""
+    return all(
+        isinstance(part, ast.BinOp | ast.operator)
+        or (isinstance(part, ast.Constant) and isinstance(part.value, int | float))
+        for part in ast.walk(value)
+    )
+
+
 @cache
 def log_types() -> frozenset[str]:
     """Return the types of all log lines, without the prefix."""
@@ -210,6 +236,16 @@
     assert not missing(page, named, lambda name: name in assigned_names())
 
 
+@pytest.mark.parametrize("page", NOW)
+def test_figures_behind_constants_are_those_of_the_code(page):
+    wrong = ""
+    for name, figure, unit in FIGURE.findall(" ".join(prose_of(page).split())):
+        values = constant_values().get(name, set())
+        if values and not any(isclose(float(figure) * UNITS[unit], value) for value in values):
+            wrong += f"\n{page}: {name} {figure} {unit} is {sorted(values)}"
+    assert not wrong
+
+
 @pytest.mark.parametrize("page", NOW)
 def test_named_classes_and_their_members_exist(page):
     named = {span for span in code_spans(page) if CLASS_NAME.match(span)}
