--- a/packages/springbridge-node/springbridge_node/docs_test.py
+++ b/packages/springbridge-node/springbridge_node/docs_test.py
@@ -58,6 +58,7 @@
     r"((?:node|request|engine|engines|member|peers|dependency|configuration|settings|scheduler|table"
     r"|order|invariant)\.[a-z_]+|fault|library)\Z"
 )
+LOG_ROW = re.compile(r"^\| ((?:`[a-z_.]+`(?:, )?)+) \| ([^|]+) \|", re.MULTILINE)
 METRIC = re.compile(r"springbridge_[a-z_]+(?=\{|\Z)")
 CLASS_NAME = re.compile(r"(?:(?:[A-Z][a-z]+){2,}(?:\.\w+)?|[A-Z][a-z]+\.\w+)\Z")
 VARIABLE = re.compile(r"SPRINGBRIDGE(?:CTL)?_[A-Z_]+\Z")
@@ -156,6 +157,29 @@
     return frozenset(re.findall(r"\bevent\(\s*\"([a-z_.]+)\"", python_text()))
 
 
+@cache
+def log_fields() -> dict[str, set[str]]:
+    """Return the fields of each log type that are given by name."""
+    found: dict[str, set[str]] = {}
+    for path in python_files():
+        for node in ast.walk(ast.parse(path.read_text())):
+            if not isinstance(node, ast.Call) or not node.args:
+                continue
+            name = getattr(node.func, "attr", getattr(node.func, "id", ""))
+            if name == "event" and isinstance(node.args[0], ast.Constant):
+                fields = found.setdefault(node.args[0].value, set())
+                fields.update(keyword.arg for keyword in node.keywords)
+    return found
+
+
+def log_rows(page: str) -> Iterator[tuple[list[str], set[str]]]:
+    """Yield the types and the fields of each row in a page's tables of log lines."""
+    for types, fields in LOG_ROW.findall(text_of(page)):
+        names = [LOG_TYPE.match(span) for span in CODE.findall(types)]
+        if all(names) and fields.strip() != "as above":
+            yield [name[1] for name in names], {field.strip() for field in re.split("[,;]", fields)}
+
+
 def log_types_named(page: str) -> set[str]:
     """Return the log types that a page names; `scheduler.py` is a module."""
     found = {LOG_TYPE.match(span) for span in code_spans(page) if not MODULE_FILE.match(span)}
@@ -335,3 +359,15 @@
     page = "docs/OPERATIONS.md"
     named = log_types_named(page)
     assert not missing(page + " lacks", set(log_types()), lambda name: name in named)
+
+
+def test_operations_page_names_the_fields_of_log_lines():
+    page = "docs/OPERATIONS.md"
+    named: dict[str, set[str]] = {}
+    for types, fields in log_rows(page):
+        known = set().union(*(log_fields()[name] for name in types))
+        assert not missing(f"{page}, {types}", fields, lambda name, known=known: name in known)
+        for name in types:
+            named[name] = named.get(name, set()) | fields
+    for name, fields in log_fields().items():
+        assert not missing(f"{page} lacks of {name}", fields - named[name], lambda name: False)
