--- /dev/null
+++ b/packages/springbridge-standins/springbridge_standins/pages.py
@@ -0,0 +1,175 @@
+"""What the pages name and what the sources have, for the test that compares them.
+
+It reads files and runs nothing. Owns how a page is read: links and names count in sentences and
+tables, not in drawings and listings.
+"""
+
+import ast
+import builtins
+import re
+from collections.abc import Iterator
+from functools import cache
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parents[3]
+SOURCE_FOLDERS = ("packages", "platform", "deploy", "examples", "bench")
+MADE_BY_COMMANDS = ("target/", ".venv/")
+FENCE = re.compile(r"^```.*?^```$", re.MULTILINE | re.DOTALL)
+INDENTED = re.compile(r"^    .*$", re.MULTILINE)
+CODE = re.compile(r"`([^`\n]+)`")
+MODULE_FILE = re.compile(r"(?!\*)[\w./-]*\w\.(?:py|proto|toml|sh|json|csv|txt)\Z")
+LOG_TYPE = re.compile(
+    r"(?:springbridge\.)?"
+    r"((?:node|request|engine|engines|member|peers|dependency|configuration|settings|scheduler|table"
+    r"|order|invariant)\.[a-z_]+|fault|library)\Z"
+)
+LOG_ROW = re.compile(r"^\| ((?:`[a-z_.]+`(?:, )?)+) \| ([^|]+) \|", re.MULTILINE)
+
+
+def text_of(page: str) -> str:
+    """Return a page."""
+    return (ROOT / page).read_text()
+
+
+def prose_of(page: str) -> str:
+    """Return a page without its drawings and listings, in fences or indented."""
+    return INDENTED.sub("", FENCE.sub("", text_of(page)))
+
+
+def code_spans(page: str) -> Iterator[str]:
+    """Yield what a page sets in code type inside its sentences."""
+    for found in CODE.finditer(prose_of(page)):
+        yield found[1].strip()
+
+
+@cache
+def source_files() -> tuple[Path, ...]:
+    """Return all files that pages may name, but for the runs' records."""
+    folders = (path for name in SOURCE_FOLDERS for path in (ROOT / name).rglob("*"))
+    found = [path for path in folders if path.is_file() and "__pycache__" not in path.parts]
+    return tuple(found + [path for path in ROOT.iterdir() if path.is_file()])
+
+
+@cache
+def python_files() -> tuple[Path, ...]:
+    """Return all Python files but tests."""
+    return tuple(path for path in source_files() if path.suffix == ".py" and not is_test(path))
+
+
+def is_test(path: Path) -> bool:
+    """Return whether a file holds tests."""
+    return path.name.endswith("_test.py")
+
+
+@cache
+def python_text() -> str:
+    """Return the text of all Python files but tests."""
+    return "\n".join(path.read_text() for path in python_files())
+
+
+@cache
+def text_of_tests() -> str:
+    """Return the text of all tests."""
+    return "\n".join(path.read_text() for path in source_files() if is_test(path))
+
+
+@cache
+def assigned_names() -> frozenset[str]:
+    """Return the names that modules and classes assign: constants and members of enumerations."""
+    found: set[str] = set()
+    for path in python_files():
+        for node in ast.walk(ast.parse(path.read_text())):
+            targets = (
+                node.targets if isinstance(node, ast.Assign) else [getattr(node, "target", None)]
+            )
+            found.update(target.id for target in targets if isinstance(target, ast.Name))
+    return frozenset(found)
+
+
+@cache
+def constant_values() -> dict[str, set[float]]:
+    """Return the numbers that modules assign to each constant; one name may stand in several."""
+    found: dict[str, set[float]] = {}
+    for path in python_files():
+        for node in ast.parse(path.read_text()).body:
+            if not isinstance(node, ast.Assign) or not isinstance(node.targets[0], ast.Name):
+                continue
+            if is_arithmetic(node.value):
+                value = float(eval(ast.unparse(node.value)))
+                found.setdefault(node.targets[0].id, set()).add(value)
+    return found
+
+
+def is_arithmetic(value: ast.expr) -> bool:
+    """Return whether an expression has numbers and operators only, so that it can be worked out."""
+    return all(
+        isinstance(part, ast.BinOp | ast.operator)
+        or (isinstance(part, ast.Constant) and isinstance(part.value, int | float))
+        for part in ast.walk(value)
+    )
+
+
+@cache
+def log_types() -> frozenset[str]:
+    """Return the types of all log lines, without the prefix."""
+    return frozenset(re.findall(r"\bevent\(\s*\"([a-z_.]+)\"", python_text()))
+
+
+@cache
+def log_fields() -> dict[str, set[str]]:
+    """Return the fields of each log type that are given by name."""
+    found: dict[str, set[str]] = {}
+    for path in python_files():
+        for node in ast.walk(ast.parse(path.read_text())):
+            if not isinstance(node, ast.Call) or not node.args:
+                continue
+            name = getattr(node.func, "attr", getattr(node.func, "id", ""))
+            if name == "event" and isinstance(node.args[0], ast.Constant):
+                fields = found.setdefault(node.args[0].value, set())
+                fields.update(keyword.arg for keyword in node.keywords)
+    return found
+
+
+def log_rows(page: str) -> Iterator[tuple[list[str], set[str]]]:
+    """Yield the types and the fields of each row in a page's tables of log lines."""
+    for types, fields in LOG_ROW.findall(text_of(page)):
+        names = [LOG_TYPE.match(span) for span in CODE.findall(types)]
+        if all(names) and fields.strip() != "as above":
+            yield [name[1] for name in names], {field.strip() for field in re.split("[,;]", fields)}
+
+
+def log_types_named(page: str) -> set[str]:
+    """Return the log types that a page names; `scheduler.py` is a module."""
+    found = {LOG_TYPE.match(span) for span in code_spans(page) if not MODULE_FILE.match(span)}
+    return {match[1] for match in found - {None}}
+
+
+def is_file_of_sources(name: str) -> bool:
+    """Return whether a path, or its end, is that of a file."""
+    if name.startswith(MADE_BY_COMMANDS):
+        return True
+    return any(f"/{path.as_posix()}".endswith(f"/{name.lstrip('./')}") for path in source_files())
+
+
+def is_module_or_member(name: str) -> bool:
+    """Return whether a dotted name leads to a package, a module, or a name in a module."""
+    parts = name.split(".")
+    for roots in (ROOT.glob("packages/*"), ROOT.glob("platform")):
+        for root in roots:
+            path = root.joinpath(*parts)
+            if path.is_dir() or path.with_suffix(".py").is_file():
+                return True
+            module = root.joinpath(*parts[:-1]).with_suffix(".py")
+            if module.is_file() and re.search(rf"\b{parts[-1]}\b", module.read_text()):
+                return True
+    return False
+
+
+def is_class_or_member(name: str) -> bool:
+    """Return whether a class exists in the sources or in Python, and has the member named."""
+    kind, _, member = name.partition(".")
+    if hasattr(builtins, kind):
+        return True
+    pattern = re.compile(rf"^class {kind}\b.*?(?=^\S)", re.MULTILINE | re.DOTALL)
+    bodies = [found[0] for found in pattern.finditer(python_text() + "\nend")]
+    return any(not member or re.search(rf"\b{member}\b", body) for body in bodies)
