--- a/packages/springbridge/springbridge/classes/table/changes.py
+++ b/packages/springbridge/springbridge/classes/table/changes.py
@@ -12,7 +12,7 @@
 from returns.result import Failure, Result, Success
 
 from springbridge.classes.table.checks import check_key_owners, check_references
-from springbridge.classes.table.rows import Cells, parse
+from springbridge.classes.table.rows import Cells, key_problem, parse
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
@@ -110,13 +110,25 @@
         found = snapshot.rows.get(edit.key)
         if found != edit.before:
             problems.append(_conflict(edit, found))
-        if edit.after is not None:
-            match parse(edit.key, edit.after):
-                case Failure(problem):
-                    problems.append(problem)
+        problems += _malformed_row(edit)
     return problems
 
 
+def _malformed_row(edit: Edit) -> list[Problem]:
+    """Return the problem of an edit whose key or new row cannot be read.
+
+    The key is checked also where an edit only demands that there is no row. Nodes apply each edit
+    of an accepted change to their table, and fail at a key that names no kind of row.
+    """
+    if edit.after is None:
+        problem = key_problem(edit.key) if edit.before is None else None
+        return [] if problem is None else [problem]
+    match parse(edit.key, edit.after):
+        case Failure(problem):
+            return [problem]
+    return []
+
+
 def _conflict(edit: Edit, found: Cells | None) -> Problem:
     """Return the problem that shows both sides of a racing edit."""
     detail = f"the row is now {_show(found)}; your edit expected {_show(edit.before)}"
--- a/packages/springbridge/springbridge/classes/table/rows.py
+++ b/packages/springbridge/springbridge/classes/table/rows.py
@@ -175,12 +175,11 @@
     Returns:
       The record, or ROW_MALFORMED with the key as its source.
     """
+    problem = key_problem(key)
+    if problem is not None:
+        return Failure(problem)
     parts = key.split("/")
     kind = parts[0]
-    if kind not in COLUMNS or len(parts) != KEY_PARTS[kind]:
-        return _malformed(key, "the key must be class/X, customer/X, share/X/Y or engine/X")
-    if not all(NAME.match(part) for part in parts[1:]):
-        return _malformed(key, "names take letters, digits, dot, dash and underscore")
     if set(cells) != set(COLUMNS[kind]):
         return _malformed(key, "the row needs exactly the cells " + ", ".join(COLUMNS[kind]))
     try:
@@ -189,5 +188,17 @@
         return _malformed(key, str(exc))
 
 
+def key_problem(key: str) -> Problem | None:
+    """Return ROW_MALFORMED for a key that no row can have, else None."""
+    kind, *names = key.split("/")
+    if kind not in COLUMNS or len(names) + 1 != KEY_PARTS[kind]:
+        detail = "the key must be class/X, customer/X, share/X/Y or engine/X"
+        return Problem(Code.ROW_MALFORMED, detail, key)
+    if not all(NAME.match(name) for name in names):
+        detail = "names take letters, digits, dot, dash and underscore"
+        return Problem(Code.ROW_MALFORMED, detail, key)
+    return None
+
+
 def _malformed(key: str, detail: str) -> Failure[Problem]:
     return Failure(Problem(Code.ROW_MALFORMED, detail, key))
--- a/packages/springbridge/springbridge/classes/table/sheet_test.py
+++ b/packages/springbridge/springbridge/classes/table/sheet_test.py
@@ -128,6 +128,21 @@
     assert_that(isinstance(check_edits(snapshot, (guard, edit)), Success), Is(True))
 
 
+@pytest.mark.parametrize("key", ["foo/x", "class", "class/claim-answers/x", ""])
+def test_a_guard_on_a_key_that_no_row_can_have_is_refused(snapshot, key):
+    row = snapshot.rows["share/swan/claim-answers"]
+    edit = Edit("share/swan/claim-answers", row, {**row, "weight": "5"})
+    problems = check_edits(snapshot, (Edit(key, None, None), edit)).failure()
+    assert_that([problem.code for problem in problems], Equals([Code.ROW_MALFORMED]))
+
+
+def test_a_guard_may_demand_that_a_row_does_not_exist(snapshot):
+    row = snapshot.rows["share/swan/claim-answers"]
+    edit = Edit("share/swan/claim-answers", row, {**row, "weight": "5"})
+    after = check_edits(snapshot, (Edit("class/none", None, None), edit)).unwrap()
+    assert_that("class/none" in after.rows, Is(False))
+
+
 def test_change_follows_its_version_only(snapshot):
     with pytest.raises(ValueError, match="cannot follow"):
         apply(snapshot, Change(5, "id", "who", "when", ()))
