--- a/packages/springbridge-node/springbridge_node/gateway/peers/codec.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/codec.py
@@ -1,8 +1,8 @@
 """Encodes and decodes what nodes send each other: rows in datagrams, bodies of HTTP replies.
 
-A row is a JSON list whose fields are known by their position, because names would double the size
-of a datagram. During a rollout nodes of two builds exchange rows, so the order of the fields, their
-rounding and the numbers of the enums are fixed; codec_test.py compares them byte by byte.
+A row is a JSON list whose fields are known by their position, which keeps datagrams small. During a
+rollout nodes of two builds exchange rows, so the order of the fields, their rounding and the
+numbers of the enums are fixed; codec_test.py compares them byte by byte.
 
 Decoding raises ValueError, TypeError, KeyError or IndexError on rows that no node sends.
 """
@@ -56,7 +56,7 @@
       find: Returns the member of an incarnation as this node knows it.
 
     Returns:
-      None for the state of a member that this node does not know; the next whole row tells more.
+      None for the state of a member that this node does not know; the next whole row adds it.
     """
     incarnation, heartbeat, phase, version, confirmed_ago_s, fingerprint, age_s, *fixed = row
     if fixed:
