--- a/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
@@ -17,7 +17,7 @@
 
 from springbridge_node.class_router.requests.growing_answers import Answer, KeptAnswers
 from springbridge_node.class_router.requests.home_lookup import UNKNOWN, HomeLookup
-from springbridge_node.class_router.requests.relay import HOME_LOST, follow_at_home
+from springbridge_node.class_router.requests.home_relay import HOME_LOST, follow_at_home
 from springbridge_node.class_router.requests.runner import Runner
 from springbridge_node.class_router.requests.work import Work
 
--- a/packages/springbridge/springbridge/classes/limits.py
+++ b/packages/springbridge/springbridge/classes/limits.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from math import ceil
 
-from springbridge.classes import retry_after
+from springbridge.classes import retry_times
 from springbridge.classes.entities import Share
 from springbridge.codes import Code
 from springbridge.problems import Problem
@@ -164,7 +164,7 @@
     valid_until_s: float = 0.0
     own_part: bool = False
     refilled_s: float = 0.0
-    retry_after_s: float = retry_after.SHORTEST_S
+    retry_after_s: float = retry_times.SHORTEST_S
     demand: int = 0
 
     def try_start(self, now_s: float) -> bool:
@@ -189,7 +189,7 @@
         """Return the problem of a request that could not start: which limit, when to come back."""
         code = Code.RATE_LIMITED if self.starts < 1 else Code.CONCURRENCY_LIMITED
         source = f"{self.share.customer}/{self.share.request_class}"
-        retry_after_s = max(retry_after.SHORTEST_S, self.retry_after_s)
+        retry_after_s = max(retry_times.SHORTEST_S, self.retry_after_s)
         return Problem(code, source=source, retry_after_s=retry_after_s)
 
     def ask(self, node: str) -> LeaseAsk:
--- a/packages/springbridge/springbridge/classes/limits_test.py
+++ b/packages/springbridge/springbridge/classes/limits_test.py
@@ -14,7 +14,7 @@
     LimitOwner,
     NodeLimit,
 )
-from springbridge.classes.retry_after import SHORTEST_S
+from springbridge.classes.retry_times import SHORTEST_S
 from springbridge.codes import Code
 
 RATE = 40.0
--- a/packages/springbridge/springbridge/classes/retry_after_test.py
+++ b/packages/springbridge/springbridge/classes/retry_times_test.py
@@ -4,7 +4,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from springbridge.classes.retry_after import LONGEST_S, SHORTEST_S, after_wait
+from springbridge.classes.retry_times import LONGEST_S, SHORTEST_S, after_wait
 
 CASES = [(0.0, SHORTEST_S), (3.0, 3.0), (1e6, LONGEST_S)]
 
--- a/packages/springbridge/springbridge/classes/slots/baselines.py
+++ b/packages/springbridge/springbridge/classes/slots/baselines.py
@@ -12,7 +12,7 @@
 from springbridge.classes.decisions import Outcome, Sample
 from springbridge.classes.entities import Endpoint
 from springbridge.classes.ports import Attempt, Slot
-from springbridge.classes.retry_after import NO_ENDPOINT_S
+from springbridge.classes.retry_times import NO_ENDPOINT_S
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
--- a/packages/springbridge/springbridge/classes/slots/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -33,7 +33,7 @@
 )
 from springbridge.classes.entities import Tier
 from springbridge.classes.invariants import Invariants
-from springbridge.classes.retry_after import after_wait
+from springbridge.classes.retry_times import after_wait
 from springbridge.classes.slots.endpoint_slots import EndpointSlots, Running
 from springbridge.classes.slots.fair_queue import FairQueue
 from springbridge.classes.slots.preemption import choose_victim, is_due, yielding_below
--- a/packages/springbridge/springbridge/classes/slots/slot_client.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -31,7 +31,7 @@
 from springbridge.classes.entities import Endpoint, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import Attempt, Slot
-from springbridge.classes.retry_after import NO_ENDPOINT_S
+from springbridge.classes.retry_times import NO_ENDPOINT_S
 from springbridge.classes.slots.asking_order import UsedShares, choose_first, choose_others
 from springbridge.classes.slots.pending_asks import AskTerms, Held, Pending, ask_for
 from springbridge.codes import Code
