--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -29,7 +29,7 @@
 
 
 class LimitGate:
-    """All limits: those that requests here run into, and those that this node owns."""
+    """All limits: those that apply to requests at this node, and those that this node owns."""
 
     def __init__(
         self,
@@ -71,8 +71,8 @@
         """Wait for a lease, or fall back to the equal part if the owner does not answer.
 
         Returns:
-          Whether this request asked for the lease. One that others had asked for was sized without
-          it, so this request has to try once more.
+          Whether the lease was asked for by this request. If not, it was sized before this request
+          came, and the request has to ask for another.
         """
         answer = self._answers.get(key)
         asks = answer is None
@@ -83,7 +83,7 @@
             async with asyncio.timeout(OWNER_PATIENCE_S):
                 await asyncio.shield(answer)
         except TimeoutError:
-            # A silent owner costs accuracy, not requests: the node admits its equal part.
+            # Without the owner the sum of all nodes is less exact, but requests go on being admitted.
             limit.fall_back(self._clock(), self._nodes())
             self._answered(key)
         return asks
@@ -95,12 +95,12 @@
             answer.set_result(None)
 
     def _ask_owner(self, key: Key, limit: NodeLimit) -> None:
-        holder = self._owner_of(*key)
-        if holder is None:
+        limit_owner = self._owner_of(*key)
+        if limit_owner is None:
             limit.fall_back(self._clock(), self._nodes())
             self._answered(key)
             return
-        self._send(holder, limit.ask(self._membership.me.incarnation))
+        self._send(limit_owner, limit.ask(self._membership.me.incarnation))
 
     def answer_ask(self, ask: LeaseAsk) -> None:
         """Answer a node's ask as the owner of the limit."""
@@ -120,9 +120,9 @@
         """Renew the leases of all limits in use; their owners count running requests by them."""
         me = self._membership.me.incarnation
         for key, limit in self._limits.items():
-            holder = self._owner_of(*key)
-            if limit.in_use and holder is not None:
-                self._send(holder, limit.ask(me))
+            limit_owner = self._owner_of(*key)
+            if limit.in_use and limit_owner is not None:
+                self._send(limit_owner, limit.ask(me))
 
     def tidy(self) -> None:
         """Forget limits that other nodes own now and leases that are long over."""
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -207,9 +207,9 @@
         )
 
     def leave(self) -> None:
-        """Begin a planned stop: notify all peers, and let connections end with their answers."""
+        """Begin a planned stop: notify the peers, and let connections end with their answers."""
         self.membership.leave()
-        self.heartbeats.push_phase()
+        self.heartbeats.push_now()
         self.listener.close_after_answers()
 
     def refuse_new(self) -> None:
@@ -218,9 +218,9 @@
         self.listener.stop_accepting()
 
     async def end(self) -> None:
-        """Notify all peers and stop all tasks."""
+        """Notify the peers and stop all tasks."""
         self.membership.end()
-        self.heartbeats.push_phase()
+        self.heartbeats.push_now()
         for task in self._tasks:
             task.cancel()
         # Periodic steps log their own faults; what is left here is the cancellation.
@@ -262,7 +262,7 @@
             self._push()
 
     def _push(self) -> None:
-        """Send a digest to all peers at once."""
+        """Send a digest to as many peers as gossip reaches at once."""
         self.heartbeats.push()
 
     async def _sweep(self) -> None:
--- a/packages/springbridge-node/springbridge_node/gateway/http/calls.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/calls.py
@@ -16,16 +16,16 @@
 # Seconds for a connection to come up. Not measured; chosen below the time limits of the calls that
 # use it (0.8 s to a peer, 1.2 s to the store), so that some time is left for the answer.
 CONNECT_TIMEOUT_S = 0.6
-# Longest idle time in seconds after which a connection is used again, where the other side did not
-# say how long it keeps it. Not measured; a call on a connection that was closed meanwhile fails.
+# Seconds for which an idle connection is used again if the other side does not say how long it
+# keeps it. Not measured; a call on a connection that was closed meanwhile fails.
 LONGEST_IDLE_S = 5.0
-# Share of the idle time named by the other side after which the connection is not used any more.
-# Not measured; what is left lets the next request arrive before the other side closes.
+# The other side may say how long it keeps an idle connection; it is used for this share of that
+# time. Not measured; the rest lets the next request arrive before the other side closes.
 SHARE_OF_KEEP = 0.7
 
 
 class CallFailedError(Exception):
-    """There was no whole answer in time; the call may or may not have taken effect."""
+    """There was no whole answer in time. Nobody can say whether the call took effect."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,8 +36,8 @@
     body: bytes
 
 
-class Caller:
-    """Makes calls to one address; concurrent calls use a connection each."""
+class HttpClient:
+    """Makes calls to one address, each on a connection of its own while it runs."""
 
     def __init__(self, address: str) -> None:
         """Start without connections.
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
@@ -56,13 +56,13 @@
         self._gossip = Gossip(self._membership, datagrams, self._catch_up.wake_if_behind)
 
     def push(self) -> None:
-        """Send all peers at once which configuration and endpoint list this node has."""
+        """Send as many peers as gossip reaches at once what this node has, if it is ready."""
         self._count_beat()
         if self._is_ready():
-            self.push_phase()
+            self.push_now()
 
-    def push_phase(self) -> None:
-        """Send all peers at once that this node leaves or has gone."""
+    def push_now(self) -> None:
+        """Send the digest as it is to as many peers as gossip reaches at once, ready or not."""
         if self._gossip is not None:
             self._gossip.push()
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_client.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_client.py
@@ -13,7 +13,7 @@
 from springbridge_node import logs
 from springbridge_node.gateway.config.endpoint_follower import AgedSnapshot
 from springbridge_node.gateway.config.platform_store import ConfigurationDocument
-from springbridge_node.gateway.http.calls import Caller, CallFailedError
+from springbridge_node.gateway.http.calls import CallFailedError, HttpClient
 from springbridge_node.gateway.peers import codec
 from springbridge_node.gateway.peers.peer_handlers import CONFIGURATION_PATH, ENDPOINTS_PATH
 
@@ -72,13 +72,13 @@
     A failure is logged: at most PEERS_ASKED lines for each step of the task that asks, and those
     steps are 0.2 s apart or more.
     """
-    caller = Caller(address)
+    client = HttpClient(address)
     try:
-        answer = await caller.call("GET", path, timeout_s=TIMEOUT_S)
+        answer = await client.call("GET", path, timeout_s=TIMEOUT_S)
         # No line for another status: the peer has started a moment ago and has nothing to give.
         return codec.decompress(answer.body) if answer.status == OK else None
     except (CallFailedError, zlib.error, ValueError) as exc:
         logs.event("peers.fetch_failed", address=address, path=path, detail=str(exc))
         return None
     finally:
-        caller.close()
+        client.close()
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_server.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_server.py
@@ -19,9 +19,10 @@
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 from springbridge_node.gateway.peers.selection_messages import SelectionReply, SelectionRequest
 
-# Seconds for which an attempt counts without a notice of its node; longer than a node waits for the
-# reply and gathers notices together. Not measured; chosen as several times that.
-CONFIRMED_S = 0.5
+# Seconds for which an attempt counts before its node's own notice has come. It has to outlast the
+# wait for the reply (0.08 s) and the gathering of notices (0.01 s). Not measured; chosen as several
+# times their sum.
+AWAIT_NOTICE_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +49,7 @@
         """Keep the parts.
 
         Args:
-          registry: Has the load of all nodes, because all send their notices to a coordinator.
+          registry: Knows the load of all nodes, since every node sends its load notices here.
         """
         self._registry = registry
         self._choose = choose
@@ -80,8 +81,11 @@
         self._unconfirmed.pop(notice.attempt_id, None)
 
     def _drop_unconfirmed(self) -> None:
-        """Drop the attempts that were not confirmed in time; the dict has the oldest first."""
-        oldest_s = self._clock() - CONFIRMED_S
+        """Drop the attempts that were not confirmed in time.
+
+        A dict keeps the order of insertion, so the first that is young enough ends the search.
+        """
+        oldest_s = self._clock() - AWAIT_NOTICE_S
         while self._unconfirmed:
             attempt_id, attempt = next(iter(self._unconfirmed.items()))
             if attempt.since_s > oldest_s:
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_server_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_server_test.py
@@ -12,7 +12,7 @@
 from springbridge_node.gateway.peers.load_sharing import GATHER_S
 from springbridge_node.gateway.peers.selection_client import ANSWER_S
 from springbridge_node.gateway.peers.selection_messages import SelectionRequest
-from springbridge_node.gateway.peers.selection_server import CONFIRMED_S, SelectionServer
+from springbridge_node.gateway.peers.selection_server import AWAIT_NOTICE_S, SelectionServer
 
 
 @pytest.fixture
@@ -59,7 +59,7 @@
     server.confirm(notice)
     registry.take_notice(notice)
     assert_that(registry.find(kept).loads["kept"].prefill_tokens, Equals(16_000))
-    clock.now_s += CONFIRMED_S + 0.1
+    clock.now_s += AWAIT_NOTICE_S + 0.1
     select(server, demand, "later")
     assert_that("dropped" in registry.find(dropped).loads, Equals(False))
     assert_that("kept" in registry.find(kept).loads, Equals(True))
@@ -75,4 +75,4 @@
 
 
 def test_an_attempt_counts_until_its_node_can_have_confirmed_it():
-    assert_that(CONFIRMED_S, GreaterThan(ANSWER_S + GATHER_S))
+    assert_that(AWAIT_NOTICE_S, GreaterThan(ANSWER_S + GATHER_S))
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
@@ -120,7 +120,7 @@
     """Return whether the signal ended a process that had nothing to cut off yet.
 
     On a busy machine an interpreter takes longer to start than the harms wait; the signal comes
-    before the program can handle it. Seen in CI beside eight days of the bench, seed 7.
+    before the program can handle it.
     """
     return status == -signal.SIGTERM and not node.had_started()
 
--- a/packages/springbridge/springbridge/classes/slots/baselines.py
+++ b/packages/springbridge/springbridge/classes/slots/baselines.py
@@ -1,6 +1,6 @@
 """Baseline policies for comparison, set by ``--policy``; never the default.
 
-docs/BENCH.md has the figures of a comparison with them.
+docs/design/scheduling.md has the figures of a comparison with them.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from springbridge.problems import Problem
 
 # Slots that each node uses at an endpoint. Not measured; four nodes then fill an endpoint to 24
-# streams, as in the comparison of docs/BENCH.md.
+# streams, as in that comparison.
 SLOTS_PER_ENDPOINT = 6
 
 
--- a/packages/springbridge/springbridge/classes/slots/preemption.py
+++ b/packages/springbridge/springbridge/classes/slots/preemption.py
@@ -19,16 +19,16 @@
 # at its first endpoint only. Not measured; it leaves most of the target to the endpoint.
 PREEMPT_TARGET_SHARE = 0.25
 
-assert PREEMPT_TARGET_SHARE < LATE_TARGET_SHARE, "the first endpoint preempts before all others"
+assert PREEMPT_TARGET_SHARE < LATE_TARGET_SHARE, "an ask preempts at its first endpoint first"
 
 
 def is_due(ask: Ask, wait_s: float) -> bool:
-    """Return whether an ask that would wait this long is to preempt at this endpoint now."""
+    """Return whether an ask preempts at this endpoint, given its predicted wait in seconds."""
     return ask.primary and wait_s > PREEMPT_TARGET_SHARE * ask.target_s
 
 
 def yielding_below(running: Iterable[Running], tier: Tier) -> list[Running]:
-    """Return the work of lower tiers that may be preempted and was not told to stop yet."""
+    """Return the work of lower tiers that may be preempted and is not stopping yet."""
     return [run for run in running if run.yields and run.ask.tier > tier]
 
 
--- a/packages/springbridge/springbridge/routing/eligibility.py
+++ b/packages/springbridge/springbridge/routing/eligibility.py
@@ -77,7 +77,7 @@
     """Return for how many seconds endpoints stay usable after a mass lapse.
 
     Args:
-      drain_s: Seconds within which an endpoint that has left may still get requests.
+      drain_s: Seconds after which an endpoint that has left must get no more requests.
     """
     return max(0.0, min(LAPSE_GRACE_S, drain_s - DRAIN_MARGIN_S))
 
@@ -85,7 +85,8 @@
 def lapsed_services(known: Iterable[EndpointEntry], listed: Collection[str]) -> set[str]:
     """Return the services of which more than half of the endpoints are missing at once.
 
-    A single endpoint that is missing has left; many that are missing together have lapsed.
+    One of several that is missing has left; most of them missing together have lapsed. The only
+    endpoint of a service counts as most, so it lapses too.
 
     Args:
       known: Entries of the list before and of the new one; draining endpoints do not count.
--- a/packages/springbridge/springbridge/routing/endpoint_choice.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice.py
@@ -9,7 +9,7 @@
 message is needed. Where the load of all instances is known, the time that endpoints lose by reading
 prompts can be counted, which serves more requests in time.
 Numbers: 12 runs on each of two sites, mean served value 0.826 and 0.807 by token cost, 0.777 and
-0.782 by shared prompt, 0.633 and 0.677 by least requests in flight (docs/BENCH.md).
+0.782 by shared prompt, 0.633 and 0.677 by least requests in flight.
 """
 
 from collections.abc import Callable, Sequence
