--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -83,7 +83,7 @@
             async with asyncio.timeout(OWNER_PATIENCE_S):
                 await asyncio.shield(answer)
         except TimeoutError:
-            # Without the owner the sum of all nodes is less exact, but requests go on being admitted.
+            # Without the owner the sum over all nodes is less exact, but requests are admitted.
             limit.fall_back(self._clock(), self._nodes())
             self._answered(key)
         return asks
