--- a/packages/springbridge-node/springbridge_node/gateway/http/http_head.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/http_head.py
@@ -95,6 +95,6 @@
     """Return how long the other side keeps the idle connection, or None if it does not say."""
     for item in headers.get("Keep-Alive", "").split(","):
         name, _, value = item.strip().partition("=")
-        if name.lower() == "timeout" and value.isdigit():
+        if name.lower() == "timeout" and value.isdecimal():
             return float(value)
     return None
--- a/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
@@ -87,7 +87,7 @@
     """Return whether the caller lacks an event."""
     if event_id is None or progress.last_event is None:
         return True
-    if event_id.isdigit() and progress.last_event.isdigit():
+    if event_id.isdecimal() and progress.last_event.isdecimal():
         return int(event_id) > int(progress.last_event)
     return True
 
