--- a/packages/springbridge-node/springbridge_node/gateway/bounded_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/bounded_log.py
@@ -48,6 +48,9 @@
         gained = (now_s - self._filled_s) * LINES_PER_S
         self._allowed = min(LINES_BURST, self._allowed + gained)
         self._filled_s = now_s
+        if len(self._unwritten) > UNWRITTEN_BYTES:
+            # Nothing else empties what waits, and the reader may have caught up meanwhile.
+            self.flush()
         if self._allowed < 1 or len(self._unwritten) > UNWRITTEN_BYTES:
             self.dropped += 1
             return
--- a/packages/springbridge-node/springbridge_node/gateway/bounded_log_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/bounded_log_test.py
@@ -50,3 +50,23 @@
     output.write("c")
     rest = os.read(reader, 64 << 10)
     assert_that((first + rest).decode(), Equals("a" * (64 << 10) + "b" * 100 + "c"))
+
+
+def test_the_log_goes_on_after_more_waited_than_may(pipe):
+    reader, output = pipe
+    os.set_blocking(reader, False)
+    for _ in range(20):
+        output.write(LONG_LINE)
+    for _ in range(20):
+        read = available(reader)
+        output.write("later\n")
+    read += available(reader)
+    assert_that(read.endswith(b"later\n"), Equals(True))
+
+
+def available(reader):
+    """Return what a pipe holds now."""
+    try:
+        return os.read(reader, 1 << 20)
+    except BlockingIOError:
+        return b""
