--- a/packages/springbridge-node/springbridge_node/class_router/__init__.py
+++ b/packages/springbridge-node/springbridge_node/class_router/__init__.py
@@ -8,7 +8,7 @@
                               concurrency by leases from the limits' owners
   callers/callers_http        reads the body, writes the answer
   requests/at_most_once       finds or starts the one answer of a request that is not repeatable;
-                              home_lookup: which node may run it; relay: the answer from there
+                              home_lookup: which node may run it; home_relay: the answer from there
   requests/runner             slot, attempt, another attempt (work), until the answer is whole
   endpoints/scheduler_roles   which node schedules an endpoint; scheduler_host: the schedulers here
   requests/slot_attempt       one attempt; progress: stalls; resumption: reads and resumes streams
