--- a/packages/springbridge-node/springbridge_node/gateway/peers/age_vector.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/age_vector.py
@@ -36,7 +36,7 @@
 
 def encode(ages: Iterable[HeartbeatAge]) -> str:
     """Return the text of some ages; those too old for a step are left out."""
-    entries = ((key_of(age.incarnation), math.ceil(age.ago_s / STEP_S)) for age in ages)
+    entries = ((key_of(age.incarnation), math.ceil(age.age_s / STEP_S)) for age in ages)
     packed = b"".join(ENTRY.pack(key, steps) for key, steps in entries if steps <= MOST_STEPS)
     return base64.b64encode(packed).decode()
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/gossip.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/gossip.py
@@ -153,7 +153,7 @@
             for key, ago_s in ages.items()
             if key in self._names
         ]
-        self._membership.merge_ages(named, told_by=member_rows[0][0])
+        self._membership.merge_ages(named, reported_by=member_rows[0][0])
 
     def _ask_for_unknown(self, keys: Iterable[int], teller: list, sender: str) -> None:
         """Ask the sender of a digest for itself and the members that only its ages name."""
@@ -178,7 +178,7 @@
         members = [member for member in read if member is not None]
         for member in members:
             self._names[age_vector.key_of(member.incarnation)] = member.incarnation
-        self._membership.merge(members, told_by=teller[0])
+        self._membership.merge(members, reported_by=teller[0])
         self._received()
         reads_lookups = build_of(codec.heartbeat_of(teller)) is Build.LOOKUPS
         if is_new and reads_lookups and self._may_tell():
--- a/packages/springbridge-node/springbridge_node/gateway/peers/gossip_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/gossip_test.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from springbridge.membership import Member, Membership, Pace
+from springbridge.membership import GossipTiming, Member, Membership
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
@@ -49,7 +49,7 @@
 @pytest.fixture
 def membership(clock):
     """Return the view of a node that has just started."""
-    return Membership(member("me"), clock, random.Random(1), Pace(suspect_s=SUSPECT_S))
+    return Membership(member("me"), clock, random.Random(1), GossipTiming(suspect_s=SUSPECT_S))
 
 
 @pytest.fixture
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_log.py
@@ -10,7 +10,7 @@
 
 from enum import StrEnum
 
-from springbridge.membership import LastHeard, Membership, Phase
+from springbridge.membership import LastHeartbeat, Membership, Phase
 
 from springbridge_node import logs
 
@@ -58,13 +58,15 @@
         self._silent -= live
         self._silent = {each.member.incarnation for each in self._last_heard(self._silent)}
 
-    def _last_heard(self, incarnations: set[str]) -> list[LastHeard]:
+    def _last_heard(self, incarnations: set[str]) -> list[LastHeartbeat]:
         """Return how members were last heard of, without those that are forgotten."""
-        found = [self._membership.last_heard(incarnation) for incarnation in sorted(incarnations)]
+        found = [
+            self._membership.last_heartbeat(incarnation) for incarnation in sorted(incarnations)
+        ]
         return [heard for heard in found if heard is not None]
 
 
-def _log(change: Change, members: list[LastHeard]) -> None:
+def _log(change: Change, members: list[LastHeartbeat]) -> None:
     """Log members that have changed alike, each or all together."""
     if len(members) > LINES_AT_ONCE:
         _log_many(change, members)
@@ -73,9 +75,9 @@
         _log_one(change, heard)
 
 
-def _log_many(change: Change, members: list[LastHeard]) -> None:
+def _log_many(change: Change, members: list[LastHeartbeat]) -> None:
     """Log many members in one line."""
-    ages_s = [heard.ago_s for heard in members]
+    ages_s = [heard.age_s for heard in members]
     logs.event(
         "members.changed",
         change=change,
@@ -85,7 +87,7 @@
     )
 
 
-def _log_one(change: Change, heard: LastHeard) -> None:
+def _log_one(change: Change, heard: LastHeartbeat) -> None:
     """Log one member; each type with its fields by name, which the check of the pages reads."""
     match change:
         case Change.JOINED:
@@ -93,32 +95,32 @@
                 "member.joined",
                 incarnation=heard.member.incarnation,
                 instance=heard.member.instance,
-                heard_ms_ago=_milliseconds(heard.ago_s),
-                told_by=heard.told_by,
+                heard_ms_ago=_milliseconds(heard.age_s),
+                told_by=heard.reported_by,
             )
         case Change.HEARD:
             logs.event(
                 "member.heard",
                 incarnation=heard.member.incarnation,
                 instance=heard.member.instance,
-                heard_ms_ago=_milliseconds(heard.ago_s),
-                told_by=heard.told_by,
+                heard_ms_ago=_milliseconds(heard.age_s),
+                told_by=heard.reported_by,
             )
         case Change.SILENT:
             logs.event(
                 "member.silent",
                 incarnation=heard.member.incarnation,
                 instance=heard.member.instance,
-                heard_ms_ago=_milliseconds(heard.ago_s),
-                told_by=heard.told_by,
+                heard_ms_ago=_milliseconds(heard.age_s),
+                told_by=heard.reported_by,
             )
         case Change.LEFT:
             logs.event(
                 "member.left",
                 incarnation=heard.member.incarnation,
                 instance=heard.member.instance,
-                heard_ms_ago=_milliseconds(heard.ago_s),
-                told_by=heard.told_by,
+                heard_ms_ago=_milliseconds(heard.age_s),
+                told_by=heard.reported_by,
             )
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_log_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_log_test.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from springbridge.membership import Member, Membership, Pace, Phase
+from springbridge.membership import GossipTiming, Member, Membership, Phase
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
@@ -29,17 +29,17 @@
 def membership(clock):
     """Return the view of a node that knows nobody yet."""
     me = Member("me", "me", "10.0.0.1:1", "", "a")
-    return Membership(me, clock, random.Random(1), Pace(suspect_s=SUSPECT_S))
+    return Membership(me, clock, random.Random(1), GossipTiming(suspect_s=SUSPECT_S))
 
 
 def test_a_member_that_falls_silent_and_is_heard_again_leaves_a_line_each(membership, clock, lines):
     member_log = MemberLog(membership)
-    membership.merge([peer(1)], told_by="p")
+    membership.merge([peer(1)], reported_by="p")
     member_log.check()
     clock.now_s += SUSPECT_S + 0.1
     member_log.check()
     member_log.check()
-    membership.merge([peer(2)], told_by="third")
+    membership.merge([peer(2)], reported_by="third")
     member_log.check()
     expected = [
         ("member.joined", 0, "p"),
@@ -52,9 +52,9 @@
 
 def test_a_member_that_leaves_is_not_called_silent(membership, lines):
     member_log = MemberLog(membership)
-    membership.merge([peer(1)], told_by="p")
+    membership.merge([peer(1)], reported_by="p")
     member_log.check()
-    membership.merge([peer(2, Phase.LEAVING)], told_by="p")
+    membership.merge([peer(2, Phase.LEAVING)], reported_by="p")
     member_log.check()
     assert_that([name for name, _ in lines], Equals(["member.joined", "member.left"]))
 
@@ -73,11 +73,11 @@
     # The log writes 400 lines at once and 200 a second: 195 members took all of that at a start,
     # so that lines on requests were lost.
     member_log = MemberLog(membership)
-    membership.merge(fleet(LINES_AT_ONCE + 1), told_by="p")
+    membership.merge(fleet(LINES_AT_ONCE + 1), reported_by="p")
     member_log.check()
     clock.now_s += SUSPECT_S + 0.1
     member_log.check()
-    membership.merge(fleet(LINES_AT_ONCE + 1, heartbeat=2), told_by="p")
+    membership.merge(fleet(LINES_AT_ONCE + 1, heartbeat=2), reported_by="p")
     member_log.check()
     told = [(name, fields["change"], fields["oldest_ms_ago"]) for name, fields in lines]
     expected = [
@@ -92,6 +92,6 @@
 
 def test_a_few_members_that_change_together_leave_a_line_each(membership, lines):
     member_log = MemberLog(membership)
-    membership.merge(fleet(LINES_AT_ONCE), told_by="p")
+    membership.merge(fleet(LINES_AT_ONCE), reported_by="p")
     member_log.check()
     assert_that([name for name, _ in lines], Equals(["member.joined"] * LINES_AT_ONCE))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup.py
@@ -79,7 +79,7 @@
 
     def _tell(self, incarnations: list[str], receiver: str) -> None:
         """Send a digest of some members, whole, with their ages."""
-        members = self._membership.tell_of(incarnations)
+        members = self._membership.known_members(incarnations)
         ages = [HeartbeatAge(member.incarnation, member.heard_ago_s) for member in members]
         rows = [codec.member_row(member) for member in (self._membership.me, *members)]
         self._datagrams.send(Kind.AGED_DIGEST, [age_vector.encode(ages), *rows], [receiver])
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 from springbridge.member import HeartbeatAge
-from springbridge.membership import Member, Membership, Pace
+from springbridge.membership import GossipTiming, Member, Membership
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
@@ -56,7 +56,7 @@
 @pytest.fixture
 def membership(clock):
     """Return the view of a node that has just started."""
-    return Membership(member("me"), clock, random.Random(1), Pace(suspect_s=1.2))
+    return Membership(member("me"), clock, random.Random(1), GossipTiming(suspect_s=1.2))
 
 
 @pytest.fixture
--- a/packages/springbridge-node/springbridge_node/gateway/peers/own_member.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/own_member.py
@@ -2,7 +2,7 @@
 
 import os
 
-from springbridge.membership import Member, Pace, stretch_by_hops
+from springbridge.membership import GossipTiming, Member, stretch_by_hops
 
 from springbridge_node.gateway.gateway_settings import GatewaySettings
 from springbridge_node.gateway.peers.peer_builds import FIRST_HEARTBEAT
@@ -10,7 +10,7 @@
 # Each digest goes to three peers whatever the size of the fleet, one of them in another failure
 # domain. A peer is suspected 1.2 s after its last heartbeat, which is more than four beats; in a
 # larger fleet the time grows with the hops that news takes.
-PACE = Pace(peers=3, suspect_s=1.2, stretch=stretch_by_hops)
+PACE = GossipTiming(fanout=3, suspect_s=1.2, stretch=stretch_by_hops)
 
 
 def new_member(
--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -74,15 +74,15 @@
     Mutant(
         "what is told on grows older",
         f"{LIBRARY}/digest.py",
-        "observed.member.aged(now_s - observed.stated_s, now_s - observed.heard_s)",
+        "observed.member.aged(now_s - observed.received_s, now_s - observed.heartbeat_s)",
         "observed.member",
         f"{LIBRARY}/membership_test.py::test_what_is_told_on_of_a_member_is_as_old_as_it_is",
     ),
     Mutant(
         "a third node's heartbeat counts from when it was sent",
         f"{LIBRARY}/membership.py",
-        "heard_s = now_s - member.heard_ago_s",
-        "heard_s = now_s",
+        "heartbeat_s = now_s - member.heard_ago_s",
+        "heartbeat_s = now_s",
         f"{LIBRARY}/membership_test.py"
         "::test_a_heartbeat_that_was_long_on_its_way_is_no_new_sign_of_life",
     ),
--- a/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
@@ -182,15 +182,15 @@
     Mutant(
         "leaving is final",
         f"{LIBRARY}/membership.py",
-        "stated = member if phase is member.phase else replace(member, phase=phase)",
-        "stated = member",
+        "merged = member if phase is member.phase else replace(member, phase=phase)",
+        "merged = member",
         f"{LIBRARY}/membership_test.py::test_leaving_is_final_and_spreads",
     ),
     Mutant(
         "silent nodes left out",
         f"{LIBRARY}/observations.py",
-        "heard = [each for each in self.all() if each.heard_s >= limit_s]",
-        "heard = list(self.all())",
+        "unsuspected = [each for each in self.all() if each.heartbeat_s >= limit_s]",
+        "unsuspected = list(self.all())",
         f"{LIBRARY}/membership_test.py::test_silent_node_is_left_out_whatever_the_list_says",
     ),
     Mutant(
--- a/packages/springbridge/springbridge/digest.py
+++ b/packages/springbridge/springbridge/digest.py
@@ -1,10 +1,9 @@
-"""What a node's next digest holds, and which peers get it.
+"""Gossip digests: which members a node's next digest names, and which peers receive it.
 
-Gossip spreads what nodes know of each other: every node sends a bounded digest to a few peers at
-each beat (SWIM by Das and others, DSN 2002, is the known reference; its direct probes are left
-out). What a digest says of a third node has the age of that node's last heartbeat, so that news
-that was long on its way does not look like a sign of life. The functions are pure but for the
-random numbers.
+At every gossip interval each node sends a bounded digest of its membership view to a few peers
+(after SWIM, Das et al., DSN 2002, without its direct probes). An entry about a third node carries
+the age of that node's last heartbeat, so that a heartbeat relayed late does not look like a fresh
+one. The functions are pure except for the random numbers.
 """
 
 import random
@@ -15,12 +14,12 @@
 
 from springbridge.member import HeartbeatAge, Member, Phase
 
-# Members in a digest, the sender included. It bounds a digest's cost in a fleet of 380 at 0.75 ms
-# and 2.2 kB (24 x 91 B).
+# Maximum number of members in a digest, the sender included. It bounds the cost of a digest in a
+# fleet of 380 nodes at 0.75 ms and 2.2 kB (24 x 91 B).
 DIGEST_LIMIT = 24
 # Seconds between two digests.
 GOSSIP_INTERVAL_S = 0.5
-# Peers that get each digest.
+# Number of peers that get each digest.
 GOSSIP_PEERS = 2
 
 T = TypeVar("T")
@@ -28,18 +27,18 @@
 
 @dataclass(slots=True)
 class Observation:
-    """A member as it last stated itself, and when it last gave a sign of life.
+    """The last known state of a member, and the time of its last known heartbeat.
 
     Attributes:
-      stated_s: When this node learnt what the member states, by this node's clock.
-      heard_s: When the member sent its last known heartbeat, by this node's clock.
-      told_by: Incarnation of the peer that told of it, empty where that is not known.
+      received_s: When this node received the member's state, by this node's clock.
+      heartbeat_s: When the member sent its last known heartbeat, by this node's clock.
+      reported_by: Incarnation of the peer that reported the heartbeat, empty if not known.
     """
 
     member: Member
-    stated_s: float
-    heard_s: float
-    told_by: str = ""
+    received_s: float
+    heartbeat_s: float
+    reported_by: str = ""
 
 
 def digest_members(
@@ -49,16 +48,16 @@
     now_s: float,
     limit: int = DIGEST_LIMIT,
 ) -> list[Member]:
-    """Return the members of a digest: this node, then those that leave, then a random rest.
+    """Return the members of a digest: this node, then leaving and gone ones, then random others.
 
-    Members that end come first, because a node must get no request after that. The rest is random,
-    so that all members of a large fleet are named in turn. Their ages count on from the moment of
-    their observation.
+    Leaving and gone members come first, because such a node must not get further requests. The
+    rest is random, so that over time all members of a large fleet are named. All ages are as of
+    now.
 
     Args:
-      observed: The other members that are not suspected. A digest that named a silent one would
-        teach peers anew what they have forgotten, and members that ended would be known for ever.
-      limit: Most members in the digest, the sender included.
+      observed: The other members that are not suspected. A digest that named a suspected one would
+        reintroduce it at peers that have forgotten it, and ended members would circulate for ever.
+      limit: Maximum number of members in the digest, the sender included.
     """
     candidates = list(observed)
     ending = [each for each in candidates if each.member.phase is not Phase.LIVE]
@@ -66,22 +65,24 @@
     if len(chosen) < limit - 1:
         live = [each for each in candidates if each.member.phase is Phase.LIVE]
         chosen += _sample(rng, live, limit - 1 - len(chosen))
-    return [me, *(as_told(each, now_s) for each in chosen)]
+    return [me, *(with_current_ages(each, now_s) for each in chosen)]
 
 
-def as_told(observed: Observation, now_s: float) -> Member:
-    """Return a member with all its ages counted on to the present."""
-    return observed.member.aged(now_s - observed.stated_s, now_s - observed.heard_s)
+def with_current_ages(observed: Observation, now_s: float) -> Member:
+    """Return a member with all its ages as of now."""
+    return observed.member.aged(now_s - observed.received_s, now_s - observed.heartbeat_s)
 
 
-def freshest(observed: Iterable[Observation], limit: int, now_s: float) -> list[HeartbeatAge]:
-    """Return the ages of the members that were heard of last, the youngest first.
+def youngest_heartbeats(
+    observed: Iterable[Observation], limit: int, now_s: float
+) -> list[HeartbeatAge]:
+    """Return the youngest heartbeat ages, the youngest first, at most `limit`.
 
-    These are what a peer most likely does not know yet. Simulated with 32 ages among 78 nodes:
-    views are older than 1.9 s 0.15% of the time, and 0.6% where the choice is random.
+    These are the ones that a peer most likely does not know yet. Simulated with 32 ages among 78
+    nodes: views are older than 1.9 s 0.15% of the time, and 0.6% with a random selection.
     """
-    latest = sorted(observed, key=attrgetter("heard_s"), reverse=True)[:limit]
-    return [HeartbeatAge(each.member.incarnation, now_s - each.heard_s) for each in latest]
+    latest = sorted(observed, key=attrgetter("heartbeat_s"), reverse=True)[:limit]
+    return [HeartbeatAge(each.member.incarnation, now_s - each.heartbeat_s) for each in latest]
 
 
 def digest_receivers(
@@ -89,16 +90,16 @@
 ) -> list[Member]:
     """Return the peers that get the next digest.
 
-    One is in another failure domain, so that news crosses the border; the others are in this one
-    as far as there are enough, because bytes between failure domains cost.
+    One is in another failure domain, so that state spreads between failure domains; the others are
+    in this one as far as there are enough, because traffic between failure domains costs money.
 
     Args:
       peers: The other members that run.
-      count: How many get the digest at most.
+      count: Maximum number of receivers.
     """
     near = [peer for peer in peers if peer.failure_domain == me.failure_domain]
     far = [peer for peer in peers if peer.failure_domain != me.failure_domain]
-    # A shuffle of all peers would cost several times as much as all else here.
+    # Shuffling all peers would cost several times as much as the rest of this function.
     far = _sample(rng, far, count)
     return [*far[:1], *_sample(rng, near, count), *far[1:]][:count]
 
--- a/packages/springbridge/springbridge/digest_test.py
+++ b/packages/springbridge/springbridge/digest_test.py
@@ -10,7 +10,7 @@
     Observation,
     digest_members,
     digest_receivers,
-    freshest,
+    youngest_heartbeats,
 )
 from springbridge.member import Member, Phase
 
@@ -40,7 +40,7 @@
 
 def test_the_youngest_heartbeats_are_told_of_first():
     observed = [Observation(member(f"n{number}"), 0.0, float(number)) for number in range(9)]
-    ages = [(age.incarnation, age.ago_s) for age in freshest(observed, 2, 10.0)]
+    ages = [(age.incarnation, age.age_s) for age in youngest_heartbeats(observed, 2, 10.0)]
     assert_that(ages, Equals([("n8", 2.0), ("n7", 3.0)]))
 
 
--- a/packages/springbridge/springbridge/member.py
+++ b/packages/springbridge/springbridge/member.py
@@ -1,15 +1,15 @@
-"""Records of the membership: one node as another one knows it."""
+"""Membership records that nodes gossip: the state of one node, and the age of its heartbeat."""
 
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-# Age in seconds of what was never confirmed or read. Derived: far beyond all limits on ages, and
+# Age in seconds of something that was never confirmed or read. Far beyond all limits on ages, and
 # finite, because ages are sent as numbers.
 NEVER_S = 1e9
 
 
 class Phase(IntEnum):
-    """Phase of a member; it only ever moves forward. The number is sent to peers."""
+    """Lifecycle phase of a member; it only moves forward. The number is sent to peers."""
 
     LIVE = 0
     LEAVING = 1
@@ -31,33 +31,33 @@
 
 @dataclass(frozen=True)
 class HeartbeatAge:
-    """How long ago a member gave its last sign of life, as one node knows it.
+    """Age of a member's last heartbeat, as one node knows it.
 
     Attributes:
-      ago_s: Seconds since the member itself sent the heartbeat, however many nodes passed it on.
+      age_s: Seconds since the member itself sent the heartbeat, however many nodes relayed it.
     """
 
     incarnation: str
-    ago_s: float
+    age_s: float
 
 
 @dataclass(frozen=True)
 class Member:
-    """What is known of one incarnation of a node.
+    """The state of one incarnation of a node.
 
     Attributes:
-      incarnation: Names one run of the node's process among all runs of all nodes.
-      instance: Name of the instance that runs the node, alike in all incarnations.
+      incarnation: Identifies one run of the node's process among all runs of all nodes.
+      instance: Name of the instance that runs the node, the same in all incarnations.
       peer_address: IP number and port for peers.
       caller_address: IP number and port for callers.
-      heartbeat: Counts up while the node runs.
+      heartbeat: Counter that the node increments while it runs.
       config_version: Version of the operators' configuration that the node has in force.
       confirmed_ago_s: Seconds since the node, or a peer that it got this from, read that version
         as the newest.
       table_out: Whether the node cannot reach the operators' table.
       endpoint_snapshot: Which list of endpoints the node has.
-      heard_ago_s: Age of the member's last sign of life, as the teller knows it: 0 in what a member
-        says of itself, more in what a third node tells of it.
+      heard_ago_s: Age of the member's last heartbeat, as the sender knows it: 0 in a member's own
+        entry, more in an entry relayed by a third node.
     """
 
     incarnation: str
@@ -74,11 +74,11 @@
     heard_ago_s: float = 0.0
 
     def aged(self, by_s: float, heard_ago_s: float) -> "Member":
-        """Return the member as it is told of some seconds after it stated itself.
+        """Return the member as relayed some seconds after its state was received.
 
         Args:
-          by_s: Seconds by which the ages of what it stated count on.
-          heard_ago_s: Age of its last sign of life.
+          by_s: Seconds to add to the ages in its state.
+          heard_ago_s: Age of its last heartbeat.
         """
         snapshot = self.endpoint_snapshot
         return replace(
--- a/packages/springbridge/springbridge/membership_test.py
+++ b/packages/springbridge/springbridge/membership_test.py
@@ -13,10 +13,10 @@
     FORGET_S,
     GOSSIP_INTERVAL_S,
     SUSPECT_S,
+    GossipTiming,
     HeartbeatAge,
     Member,
     Membership,
-    Pace,
     Phase,
     SnapshotStatus,
 )
@@ -257,7 +257,7 @@
     view = make_view("me")
     view.merge([member("ended", heartbeat=5)])
     clock.advance(SUSPECT_S - 0.5)
-    view.merge([member("ended", heartbeat=6, heard_ago_s=SUSPECT_S - 1.0)], told_by="third")
+    view.merge([member("ended", heartbeat=6, heard_ago_s=SUSPECT_S - 1.0)], reported_by="third")
     clock.advance(1.1)
     assert_that(view.incarnations(), Not(Contains("ended")))
 
@@ -270,7 +270,7 @@
     view.merge_ages([HeartbeatAge("a", 2.0)], "fourth")
     clock.advance(1.0)
     assert_that(view.incarnations(), Contains("a"))
-    assert_that(view.last_heard("a").told_by, Equals("third"))
+    assert_that(view.last_heartbeat("a").reported_by, Equals("third"))
 
 
 def test_a_sign_of_life_does_not_make_younger_what_the_member_stated(make_view, clock):
@@ -295,7 +295,7 @@
 
 def test_one_digest_crosses_the_border_and_the_others_stay(clock):
     me = member("m")
-    view = Membership(me, clock, random.Random(1), Pace(peers=3))
+    view = Membership(me, clock, random.Random(1), GossipTiming(fanout=3))
     view.merge([member(f"near-{number}", heartbeat=1) for number in range(9)])
     view.merge([member(f"far-{number}", "perth-b", heartbeat=1) for number in range(9)])
     for _ in range(20):
@@ -306,6 +306,6 @@
 
 
 def test_without_near_members_all_digests_cross_the_border(clock):
-    view = Membership(member("m"), clock, random.Random(1), Pace(peers=3))
+    view = Membership(member("m"), clock, random.Random(1), GossipTiming(fanout=3))
     view.merge([member(f"far-{number}", "perth-b", heartbeat=1) for number in range(9)])
     assert_that(view.gossip_targets(), HasLength(3))
--- a/packages/springbridge/springbridge/observations_test.py
+++ b/packages/springbridge/springbridge/observations_test.py
@@ -15,7 +15,7 @@
 from springbridge.digest import Observation
 from springbridge.member import Member, Phase
 from springbridge.observations import Observations
-from springbridge.suspicion import Pace, stretch_by_hops
+from springbridge.suspicion import GossipTiming, stretch_by_hops
 
 MEMBERS = 195
 DIGESTS_PER_S = 12
@@ -45,7 +45,7 @@
 @pytest.fixture
 def others(clock, stretch):
     """Return the members of a large fleet, all just heard of."""
-    found = Observations(clock, Pace(suspect_s=SUSPECT_S, stretch=stretch))
+    found = Observations(clock, GossipTiming(suspect_s=SUSPECT_S, stretch=stretch))
     for number in range(MEMBERS):
         found.add(Observation(member(number), clock.now_s, clock.now_s))
     return found
@@ -60,10 +60,10 @@
     """Return who is heard, runs and is live, by a look at every member."""
     addresses = {each.member.peer_address for each in others.all()}
     limit_s = now_s - SUSPECT_S * stretch_by_hops(len(addresses) + 1)
-    heard = [each for each in others.all() if each.heard_s >= limit_s]
-    running = [each for each in heard if each.member.phase is not Phase.GONE]
+    unsuspected = [each for each in others.all() if each.heartbeat_s >= limit_s]
+    running = [each for each in unsuspected if each.member.phase is not Phase.GONE]
     live = [each for each in running if each.member.phase is Phase.LIVE]
-    return heard, running, live
+    return unsuspected, running, live
 
 
 def change_something(others, rng, clock):
@@ -75,13 +75,13 @@
             clock.advance(rng.random() * 2.0)
         case 1 | 2:
             for each in rng.sample(known, len(known) // 3):
-                others.hear(each, clock.now_s - rng.random(), "teller")
+                others.record_heartbeat(each, clock.now_s - rng.random(), "teller")
         case 3:
-            others.doubt(one, clock.now_s - 0.6)
+            others.cap_heartbeat(one, clock.now_s - 0.6)
         case 4:
             phase = Phase(max(one.member.phase, rng.randrange(3)))
             number = int(one.member.incarnation.removeprefix("n"))
-            others.state(one, member(number, phase))
+            others.update(one, member(number, phase))
         case 5:
             number = MEMBERS + rng.randrange(1000)
             others.add(Observation(member(number), clock.now_s, clock.now_s - rng.random()))
@@ -94,7 +94,7 @@
     rng = random.Random(seed)
     for _ in range(200):
         change_something(others, rng, clock)
-        found = (others.heard(), others.running(), others.live())
+        found = (others.unsuspected(), others.running(), others.live())
         assert_that(found, Equals(found_one_by_one(others, clock.now_s)))
 
 
@@ -104,7 +104,7 @@
     for _ in range(WATCHED_S * DIGESTS_PER_S):
         clock.advance(1 / DIGESTS_PER_S)
         for each in rng.sample(known, MEMBERS // 3):
-            others.hear(each, clock.now_s - rng.random() * 0.5, "teller")
+            others.record_heartbeat(each, clock.now_s - rng.random() * 0.5, "teller")
         for _ in range(QUESTIONS_PER_S // DIGESTS_PER_S):
             others.live()
     # At most once in the second or so for which the longest silent member still counts.
@@ -115,10 +115,10 @@
     others.live()
     before = others.version
     first, second, *_ = others.all()
-    others.hear(first, clock.now_s + 1.0, "teller")
+    others.record_heartbeat(first, clock.now_s + 1.0, "teller")
     others.live()
     assert_that(others.version, Equals(before))
-    others.state(second, member(1, Phase.LEAVING))
+    others.update(second, member(1, Phase.LEAVING))
     others.live()
     assert_that(others.version, Equals(before + 1))
     clock.advance(10.0)
