--- a/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from returns.result import Failure, Result, Success
-from springbridge.crash_records import CrashRecords, ToldCrash, ToldRecord
+from springbridge.crash_records import CrashRecords, CrashReport, ReportedCrash
 from springbridge.problems import Problem
 from springbridge.routing.store_freshness import SNAPSHOT_READERS
 
@@ -36,7 +36,7 @@
         store: PlatformStore,
         readers: StoreReaders,
         records: CrashRecords,
-        adopt: Callable[[ToldRecord], None],
+        adopt: Callable[[CrashReport], None],
     ) -> None:
         """Start without anything to do but to read.
 
@@ -110,9 +110,9 @@
         self._was_read = True
         for stored in found.unwrap():
             crashes = tuple(
-                ToldCrash(name, 0.0, name in stored.failed_trials) for name in stored.crashes
+                ReportedCrash(name, 0.0, name in stored.failed_trials) for name in stored.crashes
             )
-            self._adopt(ToldRecord(stored.fingerprint, crashes))
+            self._adopt(CrashReport(stored.fingerprint, crashes))
 
 
 def _is_done(call: str, result: Result[object, Problem]) -> bool:
--- a/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine_steps_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine_steps_test.py
@@ -50,7 +50,7 @@
 def quarantine(rows):
     """Return what keeps one request in quarantine there, after its row was written."""
     records = CrashRecords(lambda: 0.0)
-    records.note_crash("f", 1)
+    records.record_crash("f", 1)
     kept = StoredQuarantine(rows, EveryReader(), records, lambda told: None)
     kept.entered("f")
     asyncio.run(kept.step())
--- a/packages/springbridge-node/springbridge_node/gateway/peers/crash_rows.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/crash_rows.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from springbridge.crash_records import ToldCrash, ToldRecord
+from springbridge.crash_records import CrashReport, ReportedCrash
 from springbridge.trials import Answer, Permission
 
 from springbridge_node.gateway.peers.row_fields import number, text, texts, whole
@@ -27,7 +27,7 @@
     service: str
     endpoint_id: str
     left_s: float
-    record: ToldRecord
+    record: CrashReport
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,32 +36,32 @@
 
     number: int
     permission: Permission
-    record: ToldRecord
+    record: CrashReport
 
 
-def record_row(record: ToldRecord) -> list:
+def record_row(record: CrashReport) -> list:
     """Return the row of a record."""
     crashes = [
-        [crash.name, round(crash.ago_s, AGE_DECIMALS), int(crash.on_trial)]
+        [crash.crash_id, round(crash.age_s, AGE_DECIMALS), int(crash.on_trial)]
         for crash in record.crashes
     ]
     ago_s = record.acquitted_ago_s
     return [record.fingerprint, crashes, None if ago_s is None else round(ago_s, AGE_DECIMALS)]
 
 
-def read_record(row: list) -> ToldRecord:
+def read_record(row: list) -> CrashReport:
     """Return the record of a row."""
     fingerprint, crashes, ago_s, *_ = row
-    return ToldRecord(
+    return CrashReport(
         text(fingerprint),
         tuple(_read_crash(crash) for crash in crashes),
         None if ago_s is None else _age(ago_s),
     )
 
 
-def _read_crash(row: list) -> ToldCrash:
+def _read_crash(row: list) -> ReportedCrash:
     name, ago_s, on_trial, *_ = row
-    return ToldCrash(whole(name), _age(ago_s), bool(on_trial))
+    return ReportedCrash(whole(name), _age(ago_s), bool(on_trial))
 
 
 def _age(value: object) -> float:
@@ -100,12 +100,12 @@
     )
 
 
-def end_row(holder: str, record: ToldRecord) -> list:
+def end_row(holder: str, record: CrashReport) -> list:
     """Return the row that tells of the end of a trial."""
     return [holder, record_row(record)]
 
 
-def read_end(row: list) -> tuple[str, ToldRecord]:
+def read_end(row: list) -> tuple[str, CrashReport]:
     """Return who held the trial of a row, and what is known of the request now."""
     holder, record, *_ = row
     return text(holder), read_record(record)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/crash_rows_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/crash_rows_test.py
@@ -1,7 +1,7 @@
 """Tests of crash_rows.py: rows come back as they were sent, and what no node sends is refused."""
 
 import pytest
-from springbridge.crash_records import ToldCrash, ToldRecord
+from springbridge.crash_records import CrashReport, ReportedCrash
 from springbridge.trials import Answer, Permission
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
@@ -9,7 +9,7 @@
 from springbridge_node.gateway.peers import crash_rows
 from springbridge_node.gateway.peers.crash_rows import TrialReply, TrialRequest
 
-RECORD = ToldRecord("f00d", (ToldCrash(2**64 - 1, 0.25, True), ToldCrash(7, 3.5)), 1.125)
+RECORD = CrashReport("f00d", (ReportedCrash(2**64 - 1, 0.25, True), ReportedCrash(7, 3.5)), 1.125)
 ROW = ["f00d", [[2**64 - 1, 0.25, 1], [7, 3.5, 0]], 1.125]
 
 
@@ -17,7 +17,7 @@
     # Nodes of two builds exchange these rows.
     assert_that(crash_rows.record_row(RECORD), Equals(ROW))
     assert_that(crash_rows.read_record(ROW), Equals(RECORD))
-    without = ToldRecord("f00d")
+    without = CrashReport("f00d")
     assert_that(crash_rows.read_record(crash_rows.record_row(without)), Equals(without))
 
 
@@ -43,7 +43,9 @@
 
 def test_fields_of_later_builds_are_passed_over():
     later = ["f00d", [[7, 3.5, 0, "more"]], None, "more"]
-    assert_that(crash_rows.read_record(later), Equals(ToldRecord("f00d", (ToldCrash(7, 3.5),))))
+    assert_that(
+        crash_rows.read_record(later), Equals(CrashReport("f00d", (ReportedCrash(7, 3.5),)))
+    )
 
 
 @pytest.mark.parametrize(
@@ -55,4 +57,4 @@
 
 
 def test_an_age_below_zero_counts_as_now():
-    assert_that(crash_rows.read_record(["f", [[1, -5.0, 0]], None]).crashes[0].ago_s, Equals(0.0))
+    assert_that(crash_rows.read_record(["f", [[1, -5.0, 0]], None]).crashes[0].age_s, Equals(0.0))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/crash_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/crash_sharing.py
@@ -11,7 +11,7 @@
 import asyncio
 from collections.abc import Callable, Collection, Iterable
 
-from springbridge.crash_records import CrashRecord, CrashRecords, ToldRecord
+from springbridge.crash_records import CrashRecord, CrashRecords, CrashReport
 from springbridge.membership import Membership
 from springbridge.quarantine import SUSPECT_CRASHES
 
@@ -92,7 +92,7 @@
             self._send(self._news_until_s, self._membership.gossip_targets())
         self._greet()
 
-    def merge(self, told: ToldRecord) -> None:
+    def merge(self, told: CrashReport) -> None:
         """Take in what a peer says of a request in another message."""
         if self._records.merge(told) and _concerns_all(self._records.find(told.fingerprint)):
             self._is_news(told.fingerprint)
@@ -117,7 +117,7 @@
 
     def _send(self, names: Iterable[str], receivers: list[str]) -> None:
         """Send records to peers."""
-        told = [self._records.told(name) for name in names]
+        told = [self._records.report(name) for name in names]
         rows = [crash_rows.record_row(record) for record in told if record is not None]
         for start in range(0, len(rows), RECORDS_PER_DATAGRAM):
             self._datagrams.send(
@@ -132,7 +132,7 @@
         if outdated:
             self._send(outdated, [sender])
 
-    def _take_one(self, told: ToldRecord) -> bool:
+    def _take_one(self, told: CrashReport) -> bool:
         """Take in one record, and return whether the peer has missed a good end."""
         before = self._records.find(told.fingerprint)
         concerned_all = _concerns_all(before)
@@ -159,10 +159,10 @@
     return record is not None and len(record.counted) >= SUSPECT_CRASHES
 
 
-def _missed_good_end(told: ToldRecord, known: CrashRecord, now_s: float) -> bool:
+def _missed_good_end(told: CrashReport, known: CrashRecord, now_s: float) -> bool:
     """Return whether a peer counts crashes that a good end known here has acquitted."""
     told_s = float("-inf") if told.acquitted_ago_s is None else now_s - told.acquitted_ago_s
-    named: Collection[int] = {crash.name for crash in told.crashes}
+    named: Collection[int] = {crash.crash_id for crash in told.crashes}
     return any(
         name in named and told_s < crash.at_s <= known.acquitted_s
         for name, crash in known.crashes.items()
--- a/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from springbridge.crash_records import CrashRecords, ToldRecord
+from springbridge.crash_records import CrashRecords, CrashReport
 from springbridge.quarantine import Quarantine
 from springbridge.trials import WAIT, Permission, Trials
 
@@ -78,19 +78,19 @@
         """Note that a trial is over, with what it showed."""
         coordinators = self._coordinators.of(service)
         if not coordinators or self._coordinators.is_me(coordinators[0]):
-            self._trials.ended(fingerprint, holder)
+            self._trials.finish(fingerprint, holder)
         elif self._datagrams is not None:
             row = crash_rows.end_row(holder, self._told(fingerprint))
             self._datagrams.send(Kind.TRIAL_ENDED, row, [coordinators[0].peer_address])
 
-    def _told(self, fingerprint: str) -> ToldRecord:
-        return self._records.told(fingerprint) or ToldRecord(fingerprint)
+    def _told(self, fingerprint: str) -> CrashReport:
+        return self._records.report(fingerprint) or CrashReport(fingerprint)
 
     def _decide(
         self, fingerprint: str, holder: str, service: str, endpoint_id: str, left_s: float
     ) -> Permission:
         endpoints = self._endpoint_count(service)
-        return self._trials.ask(fingerprint, holder, endpoint_id, left_s, endpoints)
+        return self._trials.request(fingerprint, holder, endpoint_id, left_s, endpoints)
 
     def _answer(self, row: list, sender: str) -> None:
         """Answer a node's question."""
@@ -112,4 +112,4 @@
         """Note that a peer's trial is over."""
         holder, told = crash_rows.read_end(row)
         self._sharing.merge(told)
-        self._trials.ended(told.fingerprint, holder)
+        self._trials.finish(told.fingerprint, holder)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits_test.py
@@ -36,7 +36,7 @@
     def suspect(self, *crashes):
         """Note that a request was part of crashes."""
         for crash in crashes:
-            self.records.note_crash("cause", crash)
+            self.records.record_crash("cause", crash)
 
     async def ask(self, endpoint_id="i-1"):
         """Ask for a trial."""
@@ -92,7 +92,7 @@
         other.suspect(1, 2)
         held = await one.permits.ask("cause", "n/q", SERVICE, "i-1", left_s=5.0)
         assert_that(held.answer, Is(Answer.GRANTED))
-        one.records.note_crash("cause", 3, on_trial=True)
+        one.records.record_crash("cause", 3, on_trial=True)
         one.permits.end("cause", "n/q", SERVICE)
         assert_that((await other.ask()).answer, Is(Answer.QUARANTINED))
         assert_that(other.quarantine.verdict("cause").standing, Is(Standing.QUARANTINED))
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
@@ -200,7 +200,7 @@
         fingerprint = fingerprint_of(exchange)
         entry = state.entry
         crash = crash_id(entry.endpoint_id, entry.born_ms)
-        if not self._records.note_crash(fingerprint, crash, on_trial):
+        if not self._records.record_crash(fingerprint, crash, on_trial):
             return
         self._parts.sharing.spread(fingerprint, exchange.demand.service)
         found = self._parts.quarantine.verdict(fingerprint)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
@@ -61,7 +61,7 @@
     """Return records in which a request is a suspect."""
     found = CrashRecords(node_clock.now_s)
     for crash in (1, 2):
-        found.note_crash(NAME, crash)
+        found.record_crash(NAME, crash)
     return found
 
 
@@ -134,9 +134,9 @@
 ):
     # Another request failed the same trial, and its good end made this one the cause.
     for crash in (1, 2):
-        records.note_crash("page", crash)
+        records.record_crash("page", crash)
     for name in (NAME, "page"):
-        records.note_crash(name, 3, on_trial=True)
+        records.record_crash(name, 3, on_trial=True)
     records.acquit("page")
 
     async def body():
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_parts.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from springbridge.crash_records import CrashRecords, ToldRecord
+from springbridge.crash_records import CrashRecords, CrashReport
 from springbridge.membership import Membership
 from springbridge.quarantine import Quarantine, Standing
 from springbridge.routing.endpoint_registry import EndpointRegistry
@@ -75,7 +75,7 @@
         verdicts = (self._quarantine.verdict(each.fingerprint) for each in self._records.all())
         return sum(found.standing is Standing.QUARANTINED for found in verdicts)
 
-    def _adopt(self, told: ToldRecord) -> None:
+    def _adopt(self, told: CrashReport) -> None:
         """Take in a record of the store and tell peers of it."""
         self._records.merge(told)
         self.sharing.spread(told.fingerprint, "", was_known=True)
--- a/packages/springbridge-standins/springbridge_standins/crash_simulation.py
+++ b/packages/springbridge-standins/springbridge_standins/crash_simulation.py
@@ -167,7 +167,7 @@
             return
         crash = crash_id(endpoint.name, None)
         for one in endpoint.runs.values():
-            self.records.note_crash(one.request, crash, one.on_trial)
+            self.records.record_crash(one.request, crash, one.on_trial)
         for one in endpoint.runs.values():
             self._end_trial(one)
         for one in endpoint.runs.values():
@@ -198,7 +198,7 @@
                 self._hold(one)
                 return
             endpoint = self._least(left)
-            permission = self._trials.ask(
+            permission = self._trials.request(
                 one.request, one.holder, endpoint.name, 10.0, len(self._up)
             )
             if permission.answer is not Answer.ANOTHER_ENDPOINT:
@@ -260,7 +260,7 @@
 
     def _end_trial(self, one: _Try) -> None:
         if one.on_trial:
-            self._trials.ended(one.request, one.holder)
+            self._trials.finish(one.request, one.holder)
             one.on_trial = False
 
 
--- a/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news.py
@@ -59,7 +59,7 @@
     def crash(self, fingerprint: str, crash: int, on_trial: bool = False) -> None:
         """Let a node that is drawn see the end of an endpoint."""
         node = self.nodes[self._rng.choice(list(self.nodes))]
-        node.records.note_crash(fingerprint, crash, on_trial)
+        node.records.record_crash(fingerprint, crash, on_trial)
         node.sharing.spread(fingerprint, SERVICE)
 
     def run(self, seconds: float) -> None:
--- a/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news_test.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news_test.py
@@ -83,7 +83,7 @@
             news.crash("page", crash)
         news.run(1.0)
         one, other = news.nodes[1], news.nodes[2]
-        outdated = one.records.told("page")
+        outdated = one.records.report("page")
         one.records.acquit("page")
         other.records.merge(outdated)
         other.sharing._send(["page"], [news.fleet.nodes[1].membership.me.peer_address])
--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -250,7 +250,7 @@
     Mutant(
         "the quarantine is kept through the loss of all nodes",
         f"{NODE}/gateway/config/stored_quarantine.py",
-        "            self._adopt(ToldRecord(stored.fingerprint, crashes))",
+        "            self._adopt(CrashReport(stored.fingerprint, crashes))",
         "            pass",
         f"{STORED}::test_after_the_loss_of_all_nodes_it_ends_no_further_endpoint",
     ),
--- a/packages/springbridge/springbridge/crash_records.py
+++ b/packages/springbridge/springbridge/crash_records.py
@@ -1,12 +1,12 @@
-"""Records of requests that endpoints were running when they ended.
+"""Crash history of requests: which requests were running on an endpoint when it crashed.
 
-Owns the records, by the fingerprint of the request (fingerprints.py). Each has the crashes that
-the request was part of and when a run of it last came to a good end, which acquits it of all
-crashes before. Records of all nodes merge: crashes add up, each counts once however many nodes saw
-it, and the earliest time that was told of it holds. `quarantine` decides what follows from them.
+Records are kept by the fingerprint of the request (fingerprints.py). Each has the crashes in which
+the request was involved and the time of its last successful run, which acquits it of all earlier
+crashes. Records of all nodes are merged: each crash counts once however many nodes saw it, and
+its earliest reported time is kept. `quarantine` decides what follows from them.
 
-Bounded: at most MOST_RECORDS, and the latest MOST_CRASHES of each. What passes the bound first is
-what is closest to being acquitted: the fewest crashes, then the oldest.
+Bounded: at most MAX_RECORDS, and the latest MAX_CRASHES of each. Evicted first are the records
+that are closest to being acquitted: those with the fewest crashes, then the oldest.
 
 Relies on a monotonic clock in seconds. Nothing here waits or does input or output.
 """
@@ -16,34 +16,34 @@
 
 import xxhash
 
-# Records at most. Some hundred bytes each, so that they stay under half a megabyte. An endpoint
-# that ends leaves as many as it had requests, which is some dozens.
-MOST_RECORDS = 512
-# Records that are dropped together once there is one too many. To look for the least takes 1.5 ms
-# of a core; so it costs 23 us for each new record while there are as many as may be.
-DROPPED_AT_ONCE = 64
-# Crashes kept of one request. Above the count at which a request is tried so seldom that more
-# crashes change nothing.
-MOST_CRASHES = 12
-# Seconds after its last crash or good end for which a record is kept whose request is not known to
-# have ended several endpoints. Long beside the seconds after which callers try again.
+# Maximum number of records. Some hundred bytes each, so that they stay under half a megabyte. An
+# endpoint that crashes adds one for each request that it ran, which is some dozens.
+MAX_RECORDS = 512
+# Number of records that are evicted together once there is one too many. Ranking the records takes
+# 1.5 ms of a core, which makes 23 us for each new record while the bound is reached.
+EVICTION_BATCH = 64
+# Maximum number of crashes kept per request. Above the count at which trials are so rare that
+# further crashes change nothing.
+MAX_CRASHES = 12
+# Seconds for which a record is kept after its last crash or successful run if the request has fewer
+# than POISON_CRASHES. Long compared to the seconds after which callers retry.
 FORGET_S = 300.0
-# The same for one that is. Above the longest time between two trials, so that the request is not
-# taken for a new one before its next trial.
+# The same with POISON_CRASHES or more. Above the longest pause between two trials, so that the
+# request is not taken for a new one before its next trial.
 FORGET_POISON_S = 3600.0
-# Crashes from which the longer time holds. Derived: those of a request in quarantine.
+# Number of crashes from which FORGET_POISON_S applies: that of a request in quarantine.
 POISON_CRASHES = 3
-# Moment of a good end that has not been.
+# Time of a successful run, crash or grant that has not happened.
 NEVER_S = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The end of an endpoint that was running a request.
+    """The crash of an endpoint that was running a request.
 
     Attributes:
-      at_s: When that was.
-      on_trial: Whether the request ran there because it was under suspicion; see trials.py.
+      at_s: Time of the crash.
+      on_trial: Whether the request ran there in a trial, being under suspicion; see trials.py.
     """
 
     at_s: float
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """What is known of one request.
+    """The crash history of one request.
 
     Attributes:
-      crashes: The crashes that it was part of, by their ids.
-      acquitted_s: When a run of it last came to a good end.
+      crashes: The crashes in which it was involved, by crash id.
+      acquitted_s: Time of its last successful run, NEVER_S if there was none.
     """
 
     fingerprint: str
@@ -65,69 +65,76 @@
 
     @property
     def counted(self) -> frozenset[int]:
-        """Return the crashes of which it is not acquitted."""
+        """Return the ids of the crashes after its last successful run."""
         return frozenset(
             name for name, crash in self.crashes.items() if crash.at_s > self.acquitted_s
         )
 
     @property
     def failed_trials(self) -> frozenset[int]:
-        """Return those of them that ended a trial."""
+        """Return the ids of the counted crashes that happened in a trial of the request."""
         return frozenset(name for name in self.counted if self.crashes[name].on_trial)
 
     @property
     def last_crash_s(self) -> float:
-        """Return when it was last part of a crash."""
+        """Return the time of its last crash, acquitted or not."""
         return max((crash.at_s for crash in self.crashes.values()), default=NEVER_S)
 
 
 @dataclass(frozen=True, slots=True)
-class ToldCrash:
-    """A crash as nodes tell each other of it: its id, its age in seconds, and as in Crash."""
+class ReportedCrash:
+    """A crash as nodes exchange it.
 
-    name: int
-    ago_s: float
+    Attributes:
+      crash_id: See crash_id().
+      age_s: Seconds since the crash.
+      on_trial: As in Crash.
+    """
+
+    crash_id: int
+    age_s: float
     on_trial: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class ToldRecord:
-    """A record as nodes tell each other of it, with ages in place of moments.
+class CrashReport:
+    """A crash record as nodes exchange it, with ages in place of times.
 
     Attributes:
-      acquitted_ago_s: Age of the last good end in seconds, None if there was none.
+      acquitted_ago_s: Seconds since the last successful run, None if there was none.
     """
 
     fingerprint: str
-    crashes: tuple[ToldCrash, ...] = ()
+    crashes: tuple[ReportedCrash, ...] = ()
     acquitted_ago_s: float | None = None
 
 
 def crash_id(endpoint_id: str, born_ms: int | None) -> int:
-    """Return the id of the end of an endpoint's process, the same at all nodes.
+    """Return the id of the crash of an endpoint's process, the same at all nodes.
 
     Args:
-      born_ms: Start of that process, since an endpoint may start again under its id.
+      endpoint_id: Id of the endpoint.
+      born_ms: Start of that process, since an endpoint may restart under the same id.
     """
     return xxhash.xxh3_64_intdigest(f"{endpoint_id} {born_ms}".encode())
 
 
 class CrashRecords:
-    """The records that a node has.
+    """The crash records of one node.
 
     Attributes:
-      version: Counts up whenever a record changes.
+      version: Incremented whenever a record changes.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start without records."""
+        """Create an empty set of records; the clock returns monotonic seconds."""
         self.version = 0
         self._clock = clock
         self._records: dict[str, CrashRecord] = {}
         self._by_crash: dict[int, set[str]] = {}
 
     def __len__(self) -> int:
-        """Return how many records there are."""
+        """Return the number of records."""
         return len(self._records)
 
     def all(self) -> tuple[CrashRecord, ...]:
@@ -135,72 +142,80 @@
         return tuple(self._records.values())
 
     def now_s(self) -> float:
-        """Return the moment on the clock of the records."""
+        """Return the current time by the clock of the records."""
         return self._clock()
 
     def find(self, fingerprint: str) -> CrashRecord | None:
-        """Return the record of a request."""
+        """Return the record of a request, or None if there is none."""
         return self._records.get(fingerprint)
 
-    def sharing(self, crash: int) -> Iterable[CrashRecord]:
-        """Return the records of all requests that were part of a crash."""
+    def involved_in(self, crash: int) -> Iterable[CrashRecord]:
+        """Return the records of all requests against which a crash counts."""
         return [self._records[name] for name in self._by_crash.get(crash, ())]
 
-    def note_crash(self, fingerprint: str, crash: int, on_trial: bool = False) -> bool:
-        """Note that an endpoint ended while it ran a request; return whether that is news."""
-        return self.merge(ToldRecord(fingerprint, (ToldCrash(crash, 0.0, on_trial),)))
+    def record_crash(self, fingerprint: str, crash: int, on_trial: bool = False) -> bool:
+        """Record that an endpoint crashed while it ran a request.
+
+        Returns:
+          Whether this changed the crashes that count against the request.
+        """
+        return self.merge(CrashReport(fingerprint, (ReportedCrash(crash, 0.0, on_trial),)))
 
     def acquit(self, fingerprint: str) -> bool:
-        """Note that a run of a request came to a good end; return whether that acquits it."""
+        """Record a successful run of a request; return whether that clears any crash."""
         record = self._records.get(fingerprint)
         if record is None or not record.counted:
             return False
         self._put(replace(record, acquitted_s=self._clock()))
         return True
 
-    def merge(self, told: ToldRecord) -> bool:
-        """Take in what a node tells of a request; return whether anything of it is news."""
+    def merge(self, report: CrashReport) -> bool:
+        """Merge a node's report on a request.
+
+        Returns:
+          Whether this changed the crashes that count against the request.
+        """
         now_s = self._clock()
-        record = self._records.get(told.fingerprint) or CrashRecord(told.fingerprint, {})
+        record = self._records.get(report.fingerprint) or CrashRecord(report.fingerprint, {})
         crashes = dict(record.crashes)
-        for crash in told.crashes:
-            known = crashes.get(crash.name, Crash(now_s))
-            at_s = min(known.at_s, now_s - crash.ago_s)
-            crashes[crash.name] = Crash(at_s, known.on_trial or crash.on_trial)
+        for crash in report.crashes:
+            known = crashes.get(crash.crash_id, Crash(now_s))
+            at_s = min(known.at_s, now_s - crash.age_s)
+            crashes[crash.crash_id] = Crash(at_s, known.on_trial or crash.on_trial)
         acquitted_s = record.acquitted_s
-        if told.acquitted_ago_s is not None:
-            acquitted_s = max(acquitted_s, now_s - told.acquitted_ago_s)
-        merged = CrashRecord(told.fingerprint, _latest(crashes), acquitted_s)
-        is_news = _counts(merged) != _counts(record)
+        if report.acquitted_ago_s is not None:
+            acquitted_s = max(acquitted_s, now_s - report.acquitted_ago_s)
+        merged = CrashRecord(report.fingerprint, _latest_crashes(crashes), acquitted_s)
+        has_changed = _verdict_basis(merged) != _verdict_basis(record)
         self._put(merged)
         self._drop_beyond_bound()
-        return is_news
+        return has_changed
 
-    def told(self, fingerprint: str) -> ToldRecord | None:
-        """Return a record as peers are told of it."""
+    def report(self, fingerprint: str) -> CrashReport | None:
+        """Return the report on a request for peers, or None if it has no record."""
         record = self._records.get(fingerprint)
         if record is None:
             return None
         now_s = self._clock()
         crashes = tuple(
-            ToldCrash(name, now_s - crash.at_s, crash.on_trial)
+            ReportedCrash(name, now_s - crash.at_s, crash.on_trial)
             for name, crash in record.crashes.items()
         )
         is_acquitted = record.acquitted_s != NEVER_S
-        return ToldRecord(
+        return CrashReport(
             fingerprint, crashes, now_s - record.acquitted_s if is_acquitted else None
         )
 
     def forget_old(self) -> list[CrashRecord]:
-        """Drop the records that nothing has happened to for long, and return them."""
+        """Drop the expired records and return them."""
         now_s = self._clock()
-        old = [record for record in self._records.values() if now_s > _kept_until_s(record)]
+        old = [record for record in self._records.values() if now_s > _expires_s(record)]
         for record in old:
             self._drop(record.fingerprint)
         return old
 
     def _put(self, record: CrashRecord) -> None:
-        """Keep a record in place of the one before."""
+        """Add a record or replace the one of the same request."""
         self._drop(record.fingerprint)
         self.version += 1
         self._records[record.fingerprint] = record
@@ -217,31 +232,31 @@
                 del self._by_crash[crash]
 
     def _drop_beyond_bound(self) -> None:
-        """Drop the records that matter least if there is one too many."""
-        if len(self._records) <= MOST_RECORDS:
+        """Evict the lowest-ranked EVICTION_BATCH records if there are more than MAX_RECORDS."""
+        if len(self._records) <= MAX_RECORDS:
             return
         ranked = sorted(
             self._records.values(), key=lambda each: (len(each.counted), each.last_crash_s)
         )
-        for least in ranked[:DROPPED_AT_ONCE]:
+        for least in ranked[:EVICTION_BATCH]:
             self._drop(least.fingerprint)
 
 
-def _counts(record: CrashRecord) -> tuple[frozenset[int], frozenset[int]]:
-    """Return what a verdict on a request goes by."""
+def _verdict_basis(record: CrashRecord) -> tuple[frozenset[int], frozenset[int]]:
+    """Return the crashes and failed trials that a verdict depends on."""
     return record.counted, record.failed_trials
 
 
-def _latest(crashes: dict[int, Crash]) -> dict[int, Crash]:
-    """Return the latest MOST_CRASHES crashes."""
-    if len(crashes) <= MOST_CRASHES:
+def _latest_crashes(crashes: dict[int, Crash]) -> dict[int, Crash]:
+    """Return the latest MAX_CRASHES crashes."""
+    if len(crashes) <= MAX_CRASHES:
         return crashes
-    latest = sorted(crashes, key=lambda name: crashes[name].at_s, reverse=True)[:MOST_CRASHES]
+    latest = sorted(crashes, key=lambda name: crashes[name].at_s, reverse=True)[:MAX_CRASHES]
     return {name: crashes[name] for name in latest}
 
 
-def _kept_until_s(record: CrashRecord) -> float:
-    """Return until when a record is kept if nothing more happens to it."""
+def _expires_s(record: CrashRecord) -> float:
+    """Return when a record expires if it does not change."""
     is_poison = len(record.counted) >= POISON_CRASHES
     kept_s = FORGET_POISON_S if is_poison else FORGET_S
     return max(record.last_crash_s, record.acquitted_s) + kept_s
--- a/packages/springbridge/springbridge/quarantine_test.py
+++ b/packages/springbridge/springbridge/quarantine_test.py
@@ -6,11 +6,11 @@
 
 from springbridge.crash_records import CrashRecords
 from springbridge.quarantine import (
-    DOUBT_S,
-    FIRST_DOUBTED_TRIAL_S,
     FIRST_TRIAL_S,
-    LONGEST_TRIAL_S,
+    FIRST_UNCERTAIN_TRIAL_S,
+    MAX_TRIAL_PAUSE_S,
     TRIAL_GROWTH,
+    UNCERTAINTY_S,
     Quarantine,
     Standing,
     trial_pause_s,
@@ -32,7 +32,7 @@
 def crash(records, number, *fingerprints, on_trial=()):
     """Note the end of an endpoint that ran some requests, some of them on trial."""
     for fingerprint in fingerprints:
-        records.note_crash(fingerprint, number, fingerprint in on_trial)
+        records.record_crash(fingerprint, number, fingerprint in on_trial)
 
 
 def standing(quarantine, fingerprint):
@@ -63,7 +63,7 @@
         crash(records, 3 + failed, "cause", on_trial=["cause"])
         found = quarantine.verdict("cause")
         assert_that(found.standing, Is(Standing.QUARANTINED))
-        pause_s = min(LONGEST_TRIAL_S, FIRST_TRIAL_S * TRIAL_GROWTH**failed)
+        pause_s = min(MAX_TRIAL_PAUSE_S, FIRST_TRIAL_S * TRIAL_GROWTH**failed)
         assert_that(found.trial_due_s, Equals(clock.now_s + pause_s))
         clock.now_s = found.trial_due_s
 
@@ -77,7 +77,7 @@
 
 
 def test_the_trial_is_due_again_after_a_while_however_often_it_failed():
-    assert_that(trial_pause_s(40, FIRST_TRIAL_S), Equals(LONGEST_TRIAL_S))
+    assert_that(trial_pause_s(40, FIRST_TRIAL_S), Equals(MAX_TRIAL_PAUSE_S))
 
 
 def test_while_endpoints_end_without_it_there_is_doubt(quarantine, records, clock):
@@ -85,8 +85,8 @@
     for number in (1, 2, 3):
         crash(records, number, "met-by-chance", on_trial=["met-by-chance"] if number == 3 else [])
     due_s = quarantine.verdict("met-by-chance").trial_due_s
-    assert_that(due_s, Equals(clock.now_s + FIRST_DOUBTED_TRIAL_S))
-    clock.now_s += DOUBT_S + 1
+    assert_that(due_s, Equals(clock.now_s + FIRST_UNCERTAIN_TRIAL_S))
+    clock.now_s += UNCERTAINTY_S + 1
     assert_that(quarantine.verdict("met-by-chance").trial_due_s, GreaterThan(due_s))
 
 
@@ -118,6 +118,6 @@
     crash(records, 1, "cause", "page", "once")
     crash(records, 2, "cause", "page")
     crash(records, 3, "cause", "page", "late", on_trial=["cause", "page"])
-    assert_that(quarantine.companions("cause"), Equals(frozenset({"cause", "page"})))
-    assert_that(quarantine.rivals("cause"), Equals(frozenset({"page"})))
-    assert_that(quarantine.companions("unknown"), Equals(frozenset({"unknown"})))
+    assert_that(quarantine.suspect_group("cause"), Equals(frozenset({"cause", "page"})))
+    assert_that(quarantine.failed_together("cause"), Equals(frozenset({"page"})))
+    assert_that(quarantine.suspect_group("unknown"), Equals(frozenset({"unknown"})))
