--- a/packages/springbridge/springbridge/codes.py
+++ b/packages/springbridge/springbridge/codes.py
@@ -1,8 +1,8 @@
-"""Numbered result codes: every way in which a request or command can end.
+"""Numbered result codes: every outcome of a request or command.
 
-Every answer that is not a plain success names one of these codes. Callers may rely on its fate:
-only NOT_RUN promises that no endpoint ran the request, so that it is safe to send it again. The
-table in docs/RESULT_CODES.md is generated from INFO, and a test compares the two.
+Every response that is not a plain success names one of these codes. Callers may rely on its fate:
+only NOT_RUN promises that no endpoint ran the request, so that it is safe to retry. The table in
+docs/RESULT_CODES.md is generated from INFO, and a test compares the two.
 """
 
 from dataclasses import dataclass
--- a/packages/springbridge/springbridge/codes_test.py
+++ b/packages/springbridge/springbridge/codes_test.py
@@ -1,4 +1,4 @@
-"""Tests of codes.py."""
+"""Tests of codes.py: every code is documented."""
 
 from pathlib import Path
 
--- a/packages/springbridge/springbridge/crash_records_test.py
+++ b/packages/springbridge/springbridge/crash_records_test.py
@@ -1,4 +1,4 @@
-"""Tests of the records of crashes: they merge from all nodes, and stay bounded."""
+"""Tests of crash_records.py: records of all nodes are merged, and their number is bounded."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/digest_test.py
+++ b/packages/springbridge/springbridge/digest_test.py
@@ -1,4 +1,4 @@
-"""Tests of digest.py: what a digest holds, and which peers get it."""
+"""Tests of digest.py: which members a digest names, and which peers receive it."""
 
 import random
 
--- a/packages/springbridge/springbridge/duties/demand_test.py
+++ b/packages/springbridge/springbridge/duties/demand_test.py
@@ -1,4 +1,4 @@
-"""Tests of the observed load."""
+"""Tests of demand.py: the load that is measured from lost, late and repeated messages."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/duties/lease.py
+++ b/packages/springbridge/springbridge/duties/lease.py
@@ -1,19 +1,19 @@
-"""Which instance does a duty that only one may do at a time.
-
-Decided: whether an instance renews, takes, hands on or leaves alone the lease of a duty, and for
-how long it may act under it.
-Inputs: the row of the lease in the platform's store with its stamp, the moment at which this
-instance first saw that stamp, its rank among the candidates, and what it holds.
-Outcome: a Step; and a Tenure for the holder.
-Why: nobody but the holders checks the fencing token, so that each holder's own clock has to keep
-two of them apart. A holder counts its tenure from before its last renewal was sent, whatever became
-of the answer. A candidate counts from when it first saw the row as it is, which is later, and takes
-the lease a whole length after that at the earliest. The store writes a row only under the stamp
-that the writer has seen, so that one of several candidates wins.
-
-The fencing token is the stamp at which the lease was taken: stamps only rise and none is given
-twice, also where the store comes back from an older copy (store_stamp.py). After such a return
-every row counts as just seen, and a tenure of before ends.
+"""Leader lease for duties that only one instance may do at a time, with a fencing token.
+
+Decides whether an instance renews, takes, hands on or leaves alone the lease, and for how long it
+may act under it. Inputs are the row of the lease in the platform's store with its stamp, the moment
+at which this instance first saw that stamp, its rank among the candidates, and the tenure that it
+holds. The results are a Step, and a Tenure for the holder.
+
+Only the holders check the fencing token, so two holders at a time have to be prevented by each
+instance's own clock. A holder counts its tenure from before it sent its last renewal, even if the
+answer is late. A candidate counts from when it first saw the current row, which is later, and takes
+the lease one full lease length after that at the earliest. The store writes a row only if its stamp
+is the one that the writer has seen (compare-and-swap), so that one of several candidates wins.
+
+The fencing token is the stamp of the write that took the lease. Stamps only rise and are never
+reused, even if the store is restored from an older copy (store_stamp.py). After such a restore
+every row counts as just seen, and an earlier tenure ends.
 """
 
 import math
@@ -22,20 +22,20 @@
 
 from springbridge.store_stamp import era_of
 
-# Shortest length of a lease, in seconds.
+# Shortest duration of a lease, in seconds.
 LEAST_LENGTH_S = 3.0
-# Seconds by which a tenure ends before its lease does. It covers the way of a call that was sent in
-# the last moment, and clocks that run at slightly different speeds.
+# Seconds by which a tenure ends before its lease does. It covers the network delay of a call that
+# was sent at the last moment, and clocks that run at slightly different rates.
 MARGIN_S = 0.2
-# Renewals in one length of a lease, so that one may be lost.
+# Number of renewals within the duration of a lease, so that one may be lost.
 RENEWALS = 3
-# Share of the length after which a lease that was handed on may be taken. Two such changes of
-# holder take as long as one lease, so that an instance which gets it back does not act too early
-# again.
+# Share of the lease duration after which a lease that was handed on may be taken. Two such changes
+# of holder take one full duration, so that an instance which gets the lease back does not act again
+# too early.
 HANDED_ON_SHARE = 0.5
-# Seconds that a candidate leaves to the one before it in the ranking.
+# Delay in seconds per rank, so that the higher-ranked candidate takes the lease first.
 TURN_S = 0.5
-# Instances that follow the row of a lease, the first of the ranking.
+# Number of instances that watch the row of a lease: the highest-ranked ones.
 CANDIDATES = 3
 
 
@@ -44,10 +44,10 @@
     """The row of a lease.
 
     Attributes:
-      holder: Name of the instance.
-      incarnation: Which run of its process holds the lease.
-      handed_on: Whether that run has given the lease up.
-      content: What the holder keeps for its successors.
+      holder: Name of the instance that holds the lease.
+      incarnation: Identifies the run of its process.
+      handed_on: Whether that run has released the lease.
+      content: State that the holder stores for its successors.
       era: Era of the store in which the row was written.
     """
 
@@ -60,12 +60,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReading:
-    """What the store answered about a lease.
+    """The store's answer to a read of a lease.
 
     Attributes:
-      stamp: Stamp of the row; the era alone if there is no row.
+      stamp: Stamp of the row; only the era if there is no row.
       row: The row, or None if there is none.
-      store_s: Moment of the answer on the store's steady clock.
+      store_s: Time of the answer on the store's monotonic clock.
     """
 
     stamp: int
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sight:
-    """A reading, and when this instance first saw the row with that stamp."""
+    """The latest reading, and when this instance first saw the row with that stamp."""
 
     reading: LeaseReading
     since_s: float
@@ -86,9 +86,9 @@
     """The lease as its holder knows it.
 
     Attributes:
-      token: Fencing token of all calls under it.
+      token: Fencing token of all calls made under it.
       stamp: Stamp of the row as the holder last wrote it.
-      until_s: When the holder stops to act unless it renews.
+      until_s: When the holder must stop acting unless it renews.
     """
 
     token: int
@@ -96,7 +96,7 @@
     until_s: float
 
     def allows(self, now_s: float, call_s: float) -> bool:
-        """Return whether a call that takes so many seconds at most may be sent now."""
+        """Return whether a call that takes at most `call_s` seconds may be sent now."""
         return now_s + call_s <= self.until_s
 
 
@@ -105,11 +105,11 @@
     """How an instance took a lease.
 
     Attributes:
-      before: The reading that it waited under; store_s is the moment of the write.
-      seen_s: When it first saw the row as it was.
-      at_s: Moment of the store's answer.
-      alone_until_s: Until when nobody else can have taken the lease after the tenure that this run
-        had before; minus infinity if it had none, or has handed it on.
+      before: The reading before the takeover, but with the time of the write as store_s.
+      first_seen_s: When it first saw the row of that reading.
+      at_s: When it received the store's answer to the write.
+      exclusive_until_s: Until when nobody else can have taken the lease after the previous tenure
+        of this run; minus infinity if it had none, or has handed it on.
     """
 
     before: LeaseReading
@@ -124,12 +124,12 @@
 
     @property
     def follows_itself(self) -> bool:
-        """Return whether nobody else can have held the lease since this run did."""
+        """Return whether this run held the lease before and nobody else can have held it since."""
         return self.seen_s <= self.alone_until_s
 
 
 class Step(Enum):
-    """What an instance does about a lease now."""
+    """The next action of an instance on a lease."""
 
     WAIT = auto()
     READ = auto()
@@ -139,38 +139,41 @@
 
 
 def length_s(no_return_s: float) -> float:
-    """Return the length of a lease.
+    """Return the duration of a lease in seconds.
 
     Args:
-      no_return_s: Seconds within which a holder must not get a lease back.
+      no_return_s: Seconds within which a former holder must not get the lease back.
     """
     return max(LEAST_LENGTH_S, no_return_s)
 
 
 def renewal_s(lease_s: float) -> float:
-    """Return the pause between two renewals, and between two looks of a candidate."""
+    """Return the seconds between two renewals, and between two checks by a candidate."""
     return lease_s / RENEWALS
 
 
 def seen(before: Sight | None, reading: LeaseReading, now_s: float) -> Sight:
-    """Return the sight after a reading; the same stamp keeps the moment at which it was new."""
+    """Return the observation after a reading; with an unchanged stamp it keeps since_s."""
     if before is not None and before.reading.stamp == reading.stamp:
         return Sight(reading, before.since_s)
     return Sight(reading, now_s)
 
 
 def holder_step(tenure: Tenure, now_s: float, *, is_candidate: bool) -> Step:
-    """Return what the holder does at a look."""
+    """Return the next action of the holder."""
     if now_s > tenure.until_s:
         return Step.READ
     return Step.RENEW if is_candidate else Step.HAND_ON
 
 
 def candidate_step(sight: Sight | None, now_s: float, lease_s: float, rank: int) -> Step:
-    """Return what an instance that does not hold the lease does at a look.
+    """Return the next action of an instance that does not hold the lease.
 
     Args:
-      rank: Candidates before this instance.
+      sight: The row as this instance last saw it, None before its first reading.
+      now_s: The current time.
+      lease_s: Duration of the lease.
+      rank: Number of candidates ranked above this instance.
     """
     if rank >= CANDIDATES:
         return Step.WAIT
@@ -180,7 +183,7 @@
 
 
 def free_from_s(sight: Sight, lease_s: float) -> float:
-    """Return the moment from which a lease may be taken if its row stays as it is."""
+    """Return the time from which a lease may be taken if its row does not change."""
     if _was_never_held(sight.reading):
         return sight.since_s
     share = HANDED_ON_SHARE if _was_handed_on(sight.reading) else 1.0
@@ -188,17 +191,18 @@
 
 
 def _was_never_held(reading: LeaseReading) -> bool:
-    """Return whether nobody has held the lease before.
+    """Return whether the lease was never held.
 
-    Rows of leases are not removed, so that only a return from an older copy could have lost one.
+    Rows of leases are never removed, so only a restore of the store from an older copy can lose
+    one, and that starts a new era.
     """
     return reading.row is None and era_of(reading.stamp) == 0
 
 
 def _was_handed_on(reading: LeaseReading) -> bool:
-    """Return whether the last holder has given the lease up.
+    """Return whether the last holder has released the lease.
 
-    A row of an earlier era does not tell: its copy is older than what a later holder wrote.
+    A row of an earlier era cannot show it: a later holder's write may be missing from the copy.
     """
     row = reading.row
     return row is not None and row.handed_on and row.era == era_of(reading.stamp)
@@ -209,7 +213,8 @@
 
     Args:
       stamp: Stamp of the write.
-      sent_s: When it was sent.
+      sent_s: When the write was sent.
+      lease_s: Duration of the lease.
     """
     return Tenure(token=stamp, stamp=stamp, until_s=sent_s + lease_s - MARGIN_S)
 
@@ -222,8 +227,8 @@
 def found_own(tenure: Tenure, reading: LeaseReading, incarnation: str) -> Tenure | None:
     """Return the tenure after the store refused a renewal, or None if the lease is lost.
 
-    An earlier renewal may have taken effect though its answer was lost: the row is this run's own
-    then. Its stamp is used for the next renewal; the tenure is no longer for that.
+    If an earlier renewal took effect although its answer was lost, the row is still this run's own.
+    Its stamp is then used for the next renewal; this does not extend the tenure.
     """
     row = reading.row
     if row is None or row.incarnation != incarnation or row.handed_on:
--- a/packages/springbridge/springbridge/duties/lease_test.py
+++ b/packages/springbridge/springbridge/duties/lease_test.py
@@ -1,4 +1,4 @@
-"""Tests of the rules of a lease, and of its times."""
+"""Tests of lease.py: when a lease is renewed, taken and lost, and how long it lasts."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -13,7 +13,7 @@
 
 
 def sight(row=ROW, at=7, since_s=100.0):
-    """Return a row that was first seen at a moment."""
+    """Return an observed row that was first seen at since_s."""
     return Sight(LeaseReading(at, row, 0.0), since_s)
 
 
@@ -41,12 +41,12 @@
         (ROW, 0, 3.0, Step.TAKE),
         (ROW, 1, 3.0, Step.READ),
         (ROW, 1, 3.5, Step.TAKE),
-        # Nobody has held it before; a later candidate still leaves the first one its turn.
+        # Never held before; a lower-ranked candidate still waits for the first one.
         (None, 0, 0.0, Step.TAKE),
         (None, 1, 0.4, Step.READ),
         (LeaseRow("node-1", "run-1", True, b""), 0, 1.4, Step.READ),
         (LeaseRow("node-1", "run-1", True, b""), 0, 1.5, Step.TAKE),
-        # A copy of an era before does not tell who holds the lease.
+        # A row of an earlier era does not show who holds the lease.
         (LeaseRow("node-1", "run-1", True, b"", era=-1), 0, 1.5, Step.READ),
         (ROW, lease.CANDIDATES, 60.0, Step.WAIT),
     ],
--- a/packages/springbridge/springbridge/duties/scaling.py
+++ b/packages/springbridge/springbridge/duties/scaling.py
@@ -1,13 +1,13 @@
-"""How many endpoints of each kind a service should have in each failure domain.
-
-Decided: for each failure domain the number of endpoints on demand and of spot endpoints.
-Inputs: what is listed there now, the work that callers bring, the limits and prices of the service.
-Outcome: Wanted, by failure domain.
-Why: spot endpoints cost a fraction of the others but leave a failure domain all at once, with a
-notice shorter than others take to start. So spot endpoints carry the bursts, a few on demand stay
-in each failure domain, and as spot endpoints leave others are ordered for as many as the load
-needs. No endpoint on demand is given up before a spot endpoint stands in its place, and none is
-given up while too little of the load has been seen.
+"""Autoscaling: how many on-demand and spot endpoints a service should have per failure domain.
+
+The result is computed from the endpoints listed there now, the load from callers, and the limits
+and prices of the service.
+
+Spot endpoints cost a fraction of on-demand ones but leave a failure domain all at once, with a
+notice shorter than replacements take to start. So spot endpoints carry the bursts, a few on-demand
+endpoints stay in each failure domain, and when spot endpoints leave, on-demand ones are ordered as
+far as the load needs them. No on-demand endpoint is removed before a spot endpoint has replaced it,
+and none is removed until the load has been observed for long enough.
 """
 
 import math
@@ -15,23 +15,23 @@
 from dataclasses import dataclass
 from functools import singledispatch
 
-# Seconds of load that have to be seen before fewer endpoints are wanted than there may be.
+# Seconds for which the load has to be observed before the target may follow it downwards.
 LEARN_S = 60.0
-# Multiple of the endpoints that stood up to which more are wanted while the load is unknown.
+# Target as a multiple of the initial endpoints while the load is unknown, and its bound afterwards.
 MOST_GROWTH = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingLimits:
-    """What the operators allow for a service.
+    """The limits that the operators set for a service.
 
     Attributes:
-      least: Fewest endpoints in a failure domain, both kinds together.
-      most: Most endpoints there, both kinds together.
-      boot_s: Seconds from an order to an endpoint that serves.
-      spot_price: Price of a spot endpoint as a share of the price of another; None if there are
-        none to be had.
-      prices: Price of an endpoint by failure domain; 1 where none is named.
+      least: Minimum number of endpoints in a failure domain, both kinds together.
+      most: Maximum number of endpoints there, both kinds together.
+      boot_s: Seconds from an order until the endpoint serves.
+      spot_price: Price of a spot endpoint as a fraction of the on-demand price; None if spot
+        endpoints are not available.
+      prices: Price of an on-demand endpoint by failure domain; 1 where none is given.
     """
 
     least: int
@@ -41,13 +41,13 @@
     prices: Mapping[str, float] | None = None
 
     def price(self, failure_domain: str) -> float:
-        """Return the price of an endpoint on demand in a failure domain."""
+        """Return the price of an on-demand endpoint in a failure domain."""
         return (self.prices or {}).get(failure_domain, 1.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """The endpoints of a service in one failure domain that are not about to leave."""
+    """Numbers of endpoints of a service in one failure domain, without those about to leave."""
 
     on_demand: int = 0
     spot: int = 0
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wanted:
-    """The endpoints that a service should have in one failure domain."""
+    """Numbers of endpoints that a service should have in one failure domain."""
 
     on_demand: int
     spot: int
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """The load of a service in endpoints that it keeps busy.
+    """The load of a service, as the number of endpoints that it keeps busy.
 
     Attributes:
       now: In the last seconds.
-      peak: The most in any of the samples that are kept.
-      known_for_s: For how many seconds it has been observed; 0 while nobody has sent anything.
-      stood: Endpoints that stood when the observer began; they count as needed while no load has
-        been seen.
+      peak: The highest of the kept samples.
+      known_for_s: For how many seconds the load has been observed; 0 before the first request.
+      initial_endpoints: Number of endpoints when the observation began; all of them count as needed
+        until a load has been observed.
     """
 
     now: float
@@ -81,12 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SpotFirst:
-    """Spot endpoints up to a multiple of the peak, a few others beside them.
+    """Spot endpoints up to a multiple of the peak load, and a few on-demand ones.
 
     Attributes:
-      headroom: Endpoints for each one that the peak keeps busy.
-      cover: Endpoints that stand at any time for each one that the present load keeps busy.
-      reserve: Endpoints on demand in each failure domain.
+      headroom: Target number of endpoints per endpoint that the peak load keeps busy.
+      cover: Number of running endpoints guaranteed per endpoint that the present load keeps busy.
+      reserve: Number of on-demand endpoints in each failure domain.
     """
 
     headroom: float = 2.0
@@ -96,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetTracking:
-    """Endpoints on demand alone, as many as keep them busy for a share of the time.
+    """On-demand endpoints only, as many as reach a target utilisation at the peak load.
 
     Attributes:
-      utilisation: That share.
+      utilisation: The target, as the share of time that an endpoint is busy.
     """
 
     utilisation: float = 0.4
@@ -112,12 +112,18 @@
 def wanted(
     policy: object, domains: Domains, load: Load, limits: ScalingLimits
 ) -> dict[str, Wanted]:
-    """Return the endpoints that a service should have, by failure domain.
+    """Return the numbers of endpoints that a service should have, by failure domain.
 
     Args:
       policy: A SpotFirst or a TargetTracking.
+      domains: The listed endpoints by failure domain.
+      load: The observed load.
+      limits: The operators' limits.
+
+    Raises:
+      TypeError: If the policy is of another type.
     """
-    raise TypeError(f"no scaling policy: {policy!r}")
+    raise TypeError(f"unknown scaling policy: {policy!r}")
 
 
 @wanted.register
@@ -147,7 +153,7 @@
 
 
 def _target(policy: SpotFirst, domains: Domains, load: Load, limits: ScalingLimits) -> int:
-    """Return the endpoints of both kinds that each failure domain should have."""
+    """Return how many endpoints, both kinds together, each failure domain should have."""
     count = MOST_GROWTH * load.stood
     if load.known_for_s >= LEARN_S:
         count = min(count, policy.headroom * load.peak)
@@ -155,7 +161,7 @@
 
 
 def _cover(policy: SpotFirst, domains: Domains, load: Load, limits: ScalingLimits) -> int:
-    """Return the endpoints that the service should have at any time, whatever spot ones leave."""
+    """Return how many endpoints the service must have even when spot endpoints leave."""
     if load.known_for_s <= 0:
         return load.stood
     return min(math.ceil(policy.cover * load.now), limits.most * len(domains))
@@ -164,9 +170,9 @@
 def _fill(
     domains: Domains, reserve: Mapping[str, int], missing: int, limits: ScalingLimits
 ) -> dict[str, int]:
-    """Return the endpoints on demand: the reserve and those that are missing.
+    """Return the on-demand endpoints by failure domain: the reserve plus the missing ones.
 
-    Those that stand are kept first, then the cheapest failure domains get more.
+    Existing on-demand endpoints are kept first; then the cheapest failure domains get more.
     """
     filled = dict(reserve)
     for name, each in domains.items():
@@ -182,5 +188,5 @@
 
 
 def _within(limits: ScalingLimits, count: int) -> int:
-    """Return a number of endpoints within the limits of a failure domain."""
+    """Return a number of endpoints, clamped to the limits of a failure domain."""
     return max(limits.least, min(limits.most, count))
--- a/packages/springbridge/springbridge/duties/scaling_test.py
+++ b/packages/springbridge/springbridge/duties/scaling_test.py
@@ -1,7 +1,8 @@
-"""Tests of orders, on the loads that they answer.
+"""Tests of scaling.py: the numbers of endpoints for given loads.
 
-Bursts of three times the usual load, failure domains whose spot endpoints leave all at once with a
-notice shorter than others take to start, and none to be had for a while after that.
+The cases are bursts of three times the usual load, and failure domains whose spot endpoints leave
+all at once, with a notice shorter than replacements take to start, and are unavailable for a while
+after that.
 """
 
 import pytest
@@ -27,17 +28,17 @@
 
 
 def fleet(on_demand, spot):
-    """Return the same endpoints in each failure domain."""
+    """Return a fleet with the same numbers of endpoints in each failure domain."""
     return dict.fromkeys(DOMAINS, Listed(on_demand, spot))
 
 
 def load(now, peak=None, known_for_s=30.0):
-    """Return a load in endpoints."""
+    """Return a load, as numbers of busy endpoints."""
     return Load(now, now if peak is None else peak, known_for_s, stood=45)
 
 
 def totals(found):
-    """Return all endpoints on demand and all spot endpoints."""
+    """Return the total numbers of on-demand and of spot endpoints."""
     return (
         sum(each.on_demand for each in found.values()),
         sum(each.spot for each in found.values()),
--- a/packages/springbridge/springbridge/duties/true_time_test.py
+++ b/packages/springbridge/springbridge/duties/true_time_test.py
@@ -1,4 +1,4 @@
-"""Tests of the time of day while an instance's clock jumps."""
+"""Tests of true_time.py: the time of day while an instance's clock jumps."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/duties/usage.py
+++ b/packages/springbridge/springbridge/duties/usage.py
@@ -1,7 +1,7 @@
-"""How many requests of each customer endpoints began, by window of the true time.
+"""Usage counters: how many requests of each customer endpoints began, by window of true time.
 
-Each instance counts its own requests. The counts only grow, so that an instance tells them as they
-are and a receiver keeps the largest: a message that is lost or comes twice does no harm.
+Each instance counts its own requests and broadcasts the counts. As these only grow, a receiver
+keeps the largest, so lost and repeated messages do no harm.
 """
 
 import math
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-# Seconds for which an instance keeps its counts of a window after its end. A window is reported
-# within that time, or nobody could be told of it.
+# Seconds after the end of a window for which an instance keeps its counts. A window is reported
+# within that time, or its counts could not be sent to any holder.
 KEPT_S = 30.0
 
 Counts = dict[str, int]
@@ -26,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ToldUsage:
-    """What an instance tells of its requests in one window.
+    """The requests that one run of an instance reports for one window.
 
     Attributes:
-      incarnation: Which run of which instance counted.
-      started_s: When that run started, in true time.
+      incarnation: Identifies the run.
+      started_s: When the run started, in true time.
       window: Number of the window.
       counts: Requests by customer.
     """
@@ -42,22 +42,22 @@
 
 
 def window_at(true_s: float, window_s: float) -> int:
-    """Return the number of the window of a moment."""
+    """Return the number of the window that contains a moment of true time."""
     return math.floor(true_s / window_s)
 
 
 def window_end_s(window: int, window_s: float) -> float:
-    """Return the moment at which a window ends, in true time."""
+    """Return the true time at which a window ends."""
     return (window + 1) * window_s
 
 
 def larger_counts(one: Mapping[str, int], other: Mapping[str, int]) -> Counts:
-    """Return for each customer the larger of two counts."""
+    """Return the larger of two counts for each customer."""
     return {name: max(one.get(name, 0), other.get(name, 0)) for name in {**one, **other}}
 
 
 class OwnUsage:
-    """The requests that endpoints began for this instance."""
+    """Counts of the requests that this instance sent and endpoints began."""
 
     def __init__(self, window_s: float) -> None:
         """Start without counts."""
@@ -65,7 +65,7 @@
         self._windows: dict[int, Counts] = {}
 
     def began(self, customer: str, true_s: float) -> None:
-        """Count a request that an endpoint began at a moment of true time."""
+        """Count a request of a customer that an endpoint began at a moment of true time."""
         counts = self._windows.setdefault(window_at(true_s, self.window_s), {})
         counts[customer] = counts.get(customer, 0) + 1
 
@@ -82,10 +82,10 @@
 
 
 class FleetUsage:
-    """The requests that endpoints began for all instances, as far as these told of them.
+    """Counts of the requests that endpoints began for all instances, from their reports.
 
-    A holder keeps the totals with its lease, for the case that all instances are lost. They hold
-    what the runs counted that had started by then; what later runs counted comes on top.
+    A lease holder stores the totals with its lease, in case all instances are lost. These include
+    the counts of all runs that had started by then; the counts of later runs are added to them.
     """
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
         self._stored_s = -math.inf
 
     def take(self, told: ToldUsage) -> None:
-        """Take in what an instance tells."""
+        """Merge a report; the larger count wins for each customer."""
         runs = self._told[told.window]
         before = runs.get(told.incarnation)
         counts = larger_counts(before.counts, told.counts) if before else told.counts
@@ -104,10 +104,11 @@
         )
 
     def restore(self, totals: Mapping[int, Counts], stored_s: float) -> None:
-        """Take in the totals that an earlier holder kept.
+        """Load the totals that an earlier lease holder stored.
 
         Args:
-          stored_s: When it did, in true time.
+          totals: Requests by window and customer.
+          stored_s: When they were stored, in true time.
         """
         self._stored = {window: dict(counts) for window, counts in totals.items()}
         self._stored_s = stored_s
@@ -120,11 +121,11 @@
         return _sum([larger_counts(self._stored.get(window, {}), earlier), later])
 
     def windows(self) -> list[int]:
-        """Return the windows of which there are counts, in order."""
+        """Return the numbers of the windows that have counts, in ascending order."""
         return sorted({*self._told, *self._stored})
 
     def forget(self, before: int) -> None:
-        """Drop the windows before one."""
+        """Drop the windows before a given one."""
         for window in [window for window in self._told if window < before]:
             del self._told[window]
         for window in [window for window in self._stored if window < before]:
--- a/packages/springbridge/springbridge/duties/usage_reports.py
+++ b/packages/springbridge/springbridge/duties/usage_reports.py
@@ -1,13 +1,13 @@
-"""Which windows of usage are reported, and with which counts.
-
-Decided: for each window once, its counts; and what is still to be sent.
-Inputs: the counts of the fleet, the true time, and what earlier holders decided.
-Outcome: Report records, in the order of their windows.
-Why: two reports of one window with other counts are worse than none. A window is decided once: its
-counts are written down with the lease before they are sent, and whoever sends them again sends the
-same ones. A store that comes back from an older copy forgets what was written down last. Other
-candidates are told of reports for that case, but nobody may be left who was: a holder that finds
-such a store passes over the windows that an earlier one may have decided.
+"""Ledger of usage reports: which time windows are reported to the platform, with which counts.
+
+Fixes the counts of each window exactly once and keeps track of the reports still to be sent, from
+the counts of the fleet, the true time and the decisions of earlier lease holders.
+
+Two reports of one window with different counts are worse than none. Therefore the counts are stored
+with the lease before they are sent, and every retry sends the same ones. A store that is restored
+from an older copy loses the latest decisions. Other candidates are sent copies of the reports for
+that case, but none of these may have survived: a holder that finds a restored store therefore skips
+the windows that an earlier holder may have decided.
 """
 
 import math
@@ -16,20 +16,22 @@
 
 from springbridge.duties.usage import Counts, FleetUsage, window_at, window_end_s
 
-# Seconds after the end of a window in which the counts of all instances arrive.
+# Seconds after the end of a window within which the counts of all instances arrive.
 SETTLE_S = 2.5
-# Seconds after the end of a window for which its report is still sent.
+# Seconds after the end of a window during which its report may still be sent.
 LATEST_S = 40.0
-# Seconds by which the true time of an earlier holder may have been ahead of this one's.
+# Seconds by which the clock of an earlier holder may have been ahead of this holder's.
 AHEAD_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """The usage of a window as it was decided.
+    """The usage of a window, with its final counts.
 
     Attributes:
-      sent: Whether the platform has taken it.
+      window: Number of the window.
+      counts: Requests by customer.
+      sent: Whether the platform has acknowledged the report.
     """
 
     window: int
@@ -38,25 +40,33 @@
 
 
 class ReportLedger:
-    """The reports of the last windows, decided or sent."""
+    """The reports of the latest decided windows, sent or not."""
 
     def __init__(self, window_s: float) -> None:
-        """Start with nothing decided."""
+        """Create a ledger with no window decided.
+
+        Args:
+          window_s: Length of a window.
+        """
         self._window_s = window_s
         self._next: int | None = None
         self._reports: dict[int, Report] = {}
 
     @property
     def next_window(self) -> int | None:
-        """Return the first window that is not decided, None before any holder was there."""
+        """Return the first undecided window, None before there was any holder."""
         return self._next
 
     def reports(self) -> list[Report]:
-        """Return the reports that are kept, in order."""
+        """Return the reports that are kept, in the order of their windows."""
         return [self._reports[window] for window in sorted(self._reports)]
 
     def adopt(self, reports: Iterable[Report], next_window: int | None) -> None:
-        """Take in what another holder decided; what is known of a window stays as it is."""
+        """Merge another holder's decisions.
+
+        The counts already known for a window are kept; a report with the same counts may mark it as
+        sent.
+        """
         for report in reports:
             known = self._reports.setdefault(report.window, report)
             if report.sent and not known.sent and known.counts == report.counts:
@@ -66,17 +76,17 @@
         self._next = max(starts, default=None)
 
     def begin(self, first_window: int) -> None:
-        """Start with a window if no holder was there before."""
+        """Set the first window to decide if there was no holder before."""
         if self._next is None:
             self._next = first_window
 
     def pass_over(self, until_s: float) -> None:
-        """Leave out the windows that may have been decided by a moment of true time."""
+        """Skip the windows that may have been decided before a moment of true time."""
         if self._next is not None:
             self._next = max(self._next, window_at(until_s + AHEAD_S - SETTLE_S, self._window_s))
 
     def unknown_from(self, window: int) -> list[int]:
-        """Return the windows from one on that stay undecided and have no report known here."""
+        """Return the skipped windows, from a given one on, that have no report known here."""
         if self._next is None:
             return []
         kept = math.ceil(LATEST_S / self._window_s)
@@ -84,10 +94,10 @@
         return [each for each in range(first, self._next) if each not in self._reports]
 
     def decide(self, usage: FleetUsage, true_s: float) -> list[Report]:
-        """Decide the windows that are over and not too late, and return their reports."""
+        """Decide the windows that are settled and not too late, and return their reports."""
         if self._next is None:
             return []
-        # The number may be of another writer, far back.
+        # The first undecided window may come from another holder's row, far in the past.
         self._next = max(self._next, window_at(true_s - LATEST_S, self._window_s) - 1)
         decided = []
         while self._is_settled(self._next, true_s):
@@ -99,7 +109,7 @@
         return decided
 
     def unsent(self, true_s: float) -> list[Report]:
-        """Return the reports that are still to be sent, in order."""
+        """Return the reports still to be sent, in the order of their windows."""
         return [
             report
             for report in self.reports()
@@ -107,12 +117,12 @@
         ]
 
     def was_sent(self, window: int) -> None:
-        """Note that the platform has taken a report; one that was dropped meanwhile stays so."""
+        """Mark a report as acknowledged by the platform; ignored if it was dropped meanwhile."""
         if window in self._reports:
             self._reports[window] = replace(self._reports[window], sent=True)
 
     def forget(self, true_s: float) -> list[Report]:
-        """Drop the reports that are too late for anything; return those that were never sent."""
+        """Drop the reports that are too late to be sent; return those that were never sent."""
         old = [window for window in self._reports if self._is_too_late(window, true_s)]
         dropped = [self._reports.pop(window) for window in old]
         return [report for report in dropped if not report.sent]
--- a/packages/springbridge/springbridge/duties/usage_reports_test.py
+++ b/packages/springbridge/springbridge/duties/usage_reports_test.py
@@ -1,4 +1,4 @@
-"""Tests of deciding reports: each window once, whoever decides and whatever was lost."""
+"""Tests of usage_reports.py: each window is decided once, whoever decides and whatever is lost."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
@@ -10,7 +10,7 @@
 
 
 def usage_of(**windows):
-    """Return a fleet's usage; w10=3 is three requests in window 10."""
+    """Return a fleet's usage; w10=3 means three requests in window 10."""
     usage = FleetUsage()
     for name, count in windows.items():
         usage.take(ToldUsage("run", 0.0, int(name[1:]), {"councils": count}))
@@ -64,8 +64,8 @@
     assert_that(ledger.decide(usage_of(w10=9), 60.0), Equals([]))
 
 
-# Guards against a second report of a window: a holder without a row of the lease decided anew what
-# peers had told it.
+# Guards against a second report of a window: a holder that finds no row of the lease must not
+# decide again a window whose report it has from peers.
 def test_what_was_told_of_a_report_holds_though_the_row_is_missing():
     ledger = ReportLedger(WINDOW_S)
     ledger.adopt([Report(10, {"councils": 3})], next_window=None)
--- a/packages/springbridge/springbridge/duties/usage_test.py
+++ b/packages/springbridge/springbridge/duties/usage_test.py
@@ -1,4 +1,4 @@
-"""Tests of counted requests: by window, from lost messages, and after the loss of all instances."""
+"""Tests of usage.py: counts by window, with lost messages, and after the loss of all instances."""
 
 import itertools
 import random
@@ -19,7 +19,7 @@
 
 
 def told(incarnation, counts, started_s=0.0, window=10):
-    """Return what an instance tells of a window."""
+    """Return an instance's report for a window."""
     return ToldUsage(incarnation, started_s, window, counts)
 
 
--- a/packages/springbridge/springbridge/fingerprints.py
+++ b/packages/springbridge/springbridge/fingerprints.py
@@ -1,25 +1,28 @@
-"""Fingerprints: tells whether two requests ask for the same, whatever ids they came under.
+"""Request fingerprints, which identify retries of the same request under different ids.
 
-A caller that tries again sends the same request under a new id. What identifies it is who asks and
-what for: host, path with query, body. What differs between two tries does not count: the request's
-id, its deadline, the event after which a stream goes on.
+A caller that retries sends the same request under a new id. The fingerprint covers the customer and
+what is requested: host, path with query, body. It leaves out what differs between two attempts: the
+request's id, its deadline, the event after which a stream resumes.
 
-Bodies are large, so the hash is not cryptographic. A customer that wanted to could build two of its
-own requests with one fingerprint; the customer's name is part of it.
+Bodies are large, so the hash is not cryptographic. A customer could construct two requests with the
+same fingerprint, but only among its own, since the customer's name is part of it.
 """
 
 import xxhash
 
 
 def fingerprint(*parts: bytes) -> str:
-    """Return the fingerprint of a request from what identifies it, in an order that is kept.
+    """Return the fingerprint of a request.
+
+    Args:
+      parts: What identifies the request; their order counts.
 
     Returns:
       16 hexadecimal digits.
     """
     digest = xxhash.xxh3_64()
     for part in parts:
-        # With the lengths no two lists of parts run together into the same bytes.
+        # The length prefix prevents different lists of parts from concatenating to the same bytes.
         digest.update(len(part).to_bytes(8))
         digest.update(part)
     return digest.hexdigest()
--- a/packages/springbridge/springbridge/hashing.py
+++ b/packages/springbridge/springbridge/hashing.py
@@ -1,7 +1,7 @@
-"""Weighted rendezvous hashing: which node takes on a role, and which endpoint gets a prompt.
+"""Weighted rendezvous hashing, which assigns roles to nodes and prompts to endpoints.
 
 Every process that sees the same candidates computes the same ranking, so no message is needed. When
-a candidate goes away, only its own keys move to others.
+a candidate is removed, only its own keys move to others.
 """
 
 import math
@@ -9,7 +9,7 @@
 
 import xxhash
 
-# Number of values of the 64-bit hash; divides it into a fraction of one.
+# Number of values of the 64-bit hash; scales it to a fraction between 0 and 1.
 HASH_SPAN = 2.0**64
 
 
@@ -17,6 +17,8 @@
     """Return the score of a candidate for a key; the highest score wins.
 
     Args:
+      key: What is to be assigned.
+      candidate: Name of the candidate.
       weight: Share of the keys that the candidate should win, relative to the other candidates'
         weights; above zero.
     """
--- a/packages/springbridge/springbridge/membership_test.py
+++ b/packages/springbridge/springbridge/membership_test.py
@@ -37,7 +37,7 @@
 
 
 def gossip(views, rounds, clock, cut=lambda sender, receiver: False):
-    """Let nodes exchange digests for some rounds."""
+    """Exchange digests between nodes for some rounds, except where cut() is true."""
     by_address = {view.me.peer_address: view for view in views}
     for _ in range(rounds):
         clock.advance(GOSSIP_INTERVAL_S)
@@ -132,7 +132,7 @@
 
 
 def names_in_digest(view):
-    """Return the incarnations in a node's next digest, its own left out."""
+    """Return the incarnations in a node's next digest, without its own."""
     return {each.incarnation for each in view.digest()} - {view.me.incarnation}
 
 
@@ -156,8 +156,8 @@
 
 @pytest.mark.parametrize("phase", [Phase.LIVE, Phase.LEAVING, Phase.GONE])
 def test_a_member_that_ended_does_not_come_back_by_hearsay(make_view, clock, phase):
-    # Each node forgot it in its own time and learnt of it again from the others, for ever; what was
-    # relayed about members that had ended filled the digests in the end.
+    # Guards against ended members that circulate for ever: each node forgets one at another time
+    # and learns of it again from the others, until ended members fill the digests.
     views = listed_views(make_view, 6)
     gossip(views, 6, clock)
     last = member("ended", heartbeat=9, phase=phase)
@@ -193,7 +193,7 @@
 
 PEER = member("peer", config_version=7, heartbeat=1)
 CASES = [
-    # silence since the last confirmation, table out here, majority, peers' table out, may serve
+    # seconds since the last confirmation, table out here, majority, peers' table out, may serve
     ("fresh", 0.0, False, True, False, True),
     ("slow table", STALE_S - 0.1, True, True, False, True),
     ("table out for all", 60.0, True, True, True, True),
@@ -240,7 +240,7 @@
 
 
 def test_what_is_told_on_of_a_member_is_as_old_as_it_is(clock):
-    # A list of endpoints read a second ago must not look fresh because it came by a third node.
+    # A list of endpoints read a second ago must not look fresh because a third node relayed it.
     reader = Member("r", "r", "10.0.0.1:1", "", "a", 1, endpoint_snapshot=SnapshotStatus(7, 0.1))
     reader = replace(reader, confirmed_ago_s=0.2)
     relay = Membership(Member("m", "m", "10.0.0.2:1", "", "a"), clock, random.Random(1))
@@ -252,8 +252,8 @@
 
 
 def test_a_heartbeat_that_was_long_on_its_way_is_no_new_sign_of_life(make_view, clock):
-    # A node that ended was counted for four times as long as its silence was borne, since its last
-    # heartbeats were passed on meanwhile and counted as new wherever they came.
+    # Guards against relayed heartbeats that count as new where they arrive: an ended node then
+    # counts as live for four times the suspicion time.
     view = make_view("me")
     view.merge([member("ended", heartbeat=5)])
     clock.advance(SUSPECT_S - 0.5)
--- a/packages/springbridge/springbridge/observations_test.py
+++ b/packages/springbridge/springbridge/observations_test.py
@@ -1,9 +1,9 @@
-"""Tests of observations.py: who runs, asked for often and worked out seldom.
+"""Tests of observations.py: the cached view is exact and seldom recomputed.
 
-The load: a calm fleet in which each node is asked who runs at every digest, at every look at the
-store and for every request, while heartbeats of all others keep coming. Its figures: 195 members,
-12 digests a second with the ages of a third of them, and 60 questions a second, as counted on a
-node of such a fleet.
+The load is that of a node in a stable fleet, which reads the running members at every digest, at
+every read of the store and for every request, while heartbeats of all others keep coming: 195
+members, 12 digests a second with the ages of a third of them, and 60 reads a second, as counted on
+a node of such a fleet.
 """
 
 import random
@@ -25,7 +25,7 @@
 
 
 class CountedStretch:
-    """The growth of the time to suspicion, which is asked for whenever the answer is worked out."""
+    """The stretch of the suspicion time, which is called whenever the view is recomputed."""
 
     def __init__(self):
         self.calls = 0
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def others(clock, stretch):
-    """Return the members of a large fleet, all just heard of."""
+    """Return the members of a large fleet, each with a heartbeat as of now."""
     found = Observations(clock, GossipTiming(suspect_s=SUSPECT_S, stretch=stretch))
     for number in range(MEMBERS):
         found.add(Observation(member(number), clock.now_s, clock.now_s))
@@ -57,7 +57,7 @@
 
 
 def found_one_by_one(others, now_s):
-    """Return who is heard, runs and is live, by a look at every member."""
+    """Return the unsuspected, running and live members, by a scan of all members."""
     addresses = {each.member.peer_address for each in others.all()}
     limit_s = now_s - SUSPECT_S * stretch_by_hops(len(addresses) + 1)
     unsuspected = [each for each in others.all() if each.heartbeat_s >= limit_s]
@@ -67,7 +67,7 @@
 
 
 def change_something(others, rng, clock):
-    """Let one thing happen that may change who runs."""
+    """Make one random change that may alter which members run."""
     known = list(others.all())
     one = rng.choice(known)
     match rng.randrange(7):
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_kept_answers_are_those_of_a_look_at_every_member(others, clock, seed):
+def test_the_cached_view_equals_a_scan_of_all_members(others, clock, seed):
     rng = random.Random(seed)
     for _ in range(200):
         change_something(others, rng, clock)
@@ -98,7 +98,7 @@
         assert_that(found, Equals(found_one_by_one(others, clock.now_s)))
 
 
-def test_a_calm_fleet_is_looked_at_seldom(others, clock, stretch):
+def test_in_a_stable_fleet_the_view_is_seldom_recomputed(others, clock, stretch):
     rng = random.Random(1)
     known = list(others.all())
     for _ in range(WATCHED_S * DIGESTS_PER_S):
@@ -107,7 +107,7 @@
             others.record_heartbeat(each, clock.now_s - rng.random() * 0.5, "teller")
         for _ in range(QUESTIONS_PER_S // DIGESTS_PER_S):
             others.live()
-    # At most once in the second or so for which the longest silent member still counts.
+    # At most once in the second or so until the member with the oldest heartbeat is suspected.
     assert_that(stretch.calls / WATCHED_S, LessThan(2.0))
 
 
--- a/packages/springbridge/springbridge/problems.py
+++ b/packages/springbridge/springbridge/problems.py
@@ -1,4 +1,4 @@
-"""The error record that layers pass on inside a returns.Result."""
+"""The error record that functions return in the failure case of a returns.Result."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
     """Why a request or command did not succeed.
 
     Attributes:
-      detail: What exactly was wrong, without any content of a prompt or answer.
+      detail: The specific fault, without any content of a prompt or answer.
       source: Where the problem was found: a header, a row, an endpoint or a node.
-      retry_after_s: Seconds after which another try may succeed, or None if unknown.
+      retry_after_s: Seconds after which a retry may succeed, or None if unknown.
     """
 
     code: Code
@@ -36,6 +36,6 @@
         return ": ".join(parts + [self.info.advice])
 
     def with_source(self, source: str) -> "Problem":
-        """Return the same problem with a wider source put before its own."""
+        """Return the same problem with a wider source prefixed to its own."""
         joined = f"{source}: {self.source}" if self.source else source
         return Problem(self.code, self.detail, joined, self.retry_after_s)
--- a/packages/springbridge/springbridge/quarantine_test.py
+++ b/packages/springbridge/springbridge/quarantine_test.py
@@ -1,4 +1,4 @@
-"""Tests of the quarantine: what is held of a request by its crashes, and of which trials."""
+"""Tests of quarantine.py: the verdict on a request after crashes, trials and successful runs."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -30,7 +30,7 @@
 
 
 def crash(records, number, *fingerprints, on_trial=()):
-    """Note the end of an endpoint that ran some requests, some of them on trial."""
+    """Record the crash of an endpoint that ran some requests, some of them in a trial."""
     for fingerprint in fingerprints:
         records.record_crash(fingerprint, number, fingerprint in on_trial)
 
--- a/packages/springbridge/springbridge/rates/__init__.py
+++ b/packages/springbridge/springbridge/rates/__init__.py
@@ -1,10 +1,10 @@
-"""Rates that endpoints name: how many requests a second one takes from all instances together.
+"""Fleet-wide rate limits: an endpoint states how many requests a second it takes in total.
 
-statements  what an answer says of its endpoint's rate, and which of two statements is the newer one
-rate_table  the rates that are in force, by endpoint
-granters    which instance grants the permits of an endpoint, and for which part of its rate
-grants      the permits that a granter has, and who gets the next one
-held_back   endpoints to which an instance may not send now, and when refused callers may return
+statements  the rate that a response states, and which of two statements replaces the other
+rate_table  the rates in force, by endpoint
+granters    which instance grants the permits of an endpoint, and for which share of its rate
+grants      the token buckets of a granter, and who gets the next permit
+held_back   endpoints to which an instance may not send now, and when refused callers may retry
 
 Nothing here waits or does input or output; rates are requests a second, times are seconds.
 """
--- a/packages/springbridge/springbridge/rates/granters.py
+++ b/packages/springbridge/springbridge/rates/granters.py
@@ -1,19 +1,18 @@
-"""Which instance grants the permits of an endpoint that names a rate, and for which part of it.
-
-Decided: the granter of an endpoint and who is asked while it is silent, and the part of the rate
-that an instance may grant.
-Inputs: the live members, the endpoint's id and failure domain; for how long the instance has been
-the granter, and which part of the instances it reaches.
-Outcome: members, the granter first; a part between 0 and 1. Instances of the endpoint's own failure
-domain come first, as a cut between the two leaves the endpoint out of reach as well.
-Why: one instance that counts for all lets few instances use the whole rate and many none of it
-twice. Rendezvous hashing names the same one everywhere without a message, spreads the endpoints
-over the fleet, and names another one as soon as the granter is no longer live.
-
-Where instances see different members, several are asked for permits of the same endpoint. Each
-grants the part of the rate that its reachable members are of all that may be running, so that the
-sides of a cut do not grant more than the rate together. One that has become the granter only now,
-or is none by its own view, grants little: another one may still be asked by some.
+"""Selects the instance that grants an endpoint's permits, and the share of the rate it may grant.
+
+Granters are selected by rendezvous hashing over the live members, from the endpoint's id. Instances
+in the endpoint's own failure domain come first: if a network partition separates a caller from
+them, it cannot reach the endpoint either.
+
+With one instance counting for all, a few instances can use the whole rate, and many do not exceed
+it. Rendezvous hashing selects the same granter everywhere without a message, spreads the endpoints
+over the fleet, and selects another one as soon as the granter is no longer live.
+
+Where instances see different members, several granters are asked for permits of the same endpoint.
+Each grants the share of the rate that its reachable members are of all that may be running, so that
+the sides of a network partition together do not grant more than the rate. An instance that has just
+become the granter, or is not the granter by its own view, grants only a small share: some instances
+may still ask another one.
 """
 
 import heapq
@@ -22,25 +21,26 @@
 from springbridge.hashing import score
 from springbridge.member import Member
 
-# Beginning of the hash key that selects the granter. All instances of a mixed fleet have to select
-# the same one, so this text must stay as it is, byte for byte.
+# Prefix of the hash key that selects the granter. All instances of a fleet with mixed versions have
+# to select the same one, so this text must stay as it is, byte for byte.
 ROLE_KEY = "granter of permits"
-# Instances that may be asked in place of a granter that does not answer, one after another. With
-# one, a granter that has ended costs an endpoint little until it is noticed.
+# Number of fallback granters, asked one after another if the granter does not answer. With one, an
+# endpoint loses little of its rate until the end of its granter is detected.
 SUBSTITUTES = 1
-# Seconds in which instances may still ask the granter before. They notice the end of an instance
-# within about three seconds of each other in a fleet of hundreds.
+# Seconds during which instances may still ask the previous granter. In a fleet of hundreds they
+# detect the end of an instance within about three seconds of each other.
 HANDOVER_S = 3.0
-# Part of the rate that is granted meanwhile. Three such granters beside the one before keep within
-# one and a half times the rate.
+# Share of the rate that is granted meanwhile. Three such granters beside the previous one stay
+# within one and a half times the rate.
 HANDOVER_PART = 0.15
 
 
 def granters(members: Iterable[Member], endpoint_id: str, failure_domain: str) -> list[Member]:
-    """Return the granter of an endpoint and its substitutes, none without members.
+    """Return the granter of an endpoint followed by its fallbacks; empty without members.
 
     Args:
       members: Those that run and are not leaving.
+      endpoint_id: Id of the endpoint.
       failure_domain: Of the endpoint.
     """
     key = f"{ROLE_KEY} for {endpoint_id}"
@@ -52,10 +52,10 @@
 
 
 def granted_part(tenure_s: float, reached_share: float) -> float:
-    """Return which part of an endpoint's rate an instance may grant.
+    """Return the share of an endpoint's rate that an instance may grant, 0 to 1.
 
     Args:
       tenure_s: For how many seconds it has been the granter by its own view, 0 if it is not.
-      reached_share: Which part of the instances that may be running it reaches, itself included.
+      reached_share: Share of the possibly running instances that it reaches, itself included.
     """
     return reached_share if tenure_s >= HANDOVER_S else HANDOVER_PART * reached_share
--- a/packages/springbridge/springbridge/rates/granters_test.py
+++ b/packages/springbridge/springbridge/rates/granters_test.py
@@ -1,4 +1,4 @@
-"""Tests of who grants the permits of an endpoint, and for which part of its rate."""
+"""Tests of granters.py: which instance grants an endpoint's permits, and its share of the rate."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
@@ -43,7 +43,7 @@
 def test_one_that_has_just_become_the_granter_or_is_none_grants_little():
     assert_that(granted_part(0.0, 1.0), Equals(granted_part(HANDOVER_S - 0.01, 1.0)))
     assert_that(granted_part(0.0, 1.0), GreaterThan(0.0))
-    # Beside the granter before and two more of its kind: within one and a half times the rate.
+    # Three such granters beside the previous one: within one and a half times the rate.
     assert_that(1.0 + 3 * granted_part(0.0, 1.0), LessThan(1.5))
 
 
--- a/packages/springbridge/springbridge/rates/grants.py
+++ b/packages/springbridge/springbridge/rates/grants.py
@@ -1,13 +1,14 @@
-"""Permits to send a request to an endpoint that names a rate, at the instance that grants them.
-
-Decided: whether an instance that asks may send one request now, and if not, when it may ask again.
-Inputs: the endpoint's rate, the part of it that this granter may grant, the priority of the
-request, and the moment. Outcome: a Grant.
-Why: permits come up at the rate and few are kept, so that the endpoint never gets more than a few
-requests over its rate. A granter begins with none: the one before it may have granted a moment ago.
-Instances that are refused are given turns one after another, a little closer than permits come up:
-every permit finds somebody who asks, and a granter is not asked more often than that, however
-many instances there are. While a more urgent request was refused, the last permit is kept for it.
+"""Token buckets for endpoints that state a request rate, at the instance that grants the permits.
+
+Decides whether an instance may send one request now, and if not, when it may retry, from the rate
+that this granter may grant and the priority of the request.
+
+The bucket refills at that rate and is small, so that the endpoint never gets more than a few
+requests over its rate. A new granter starts with an empty bucket: its predecessor may have granted
+permits a moment ago. Refused instances get successive retry times, spaced a little closer than the
+permits: some instance retries for every permit, and the granter is not called more often than that,
+however many instances there are. After a more urgent request was refused, the last permit is
+reserved for it.
 """
 
 from collections.abc import Callable, Set
@@ -15,32 +16,33 @@
 
 from springbridge.routing.records import EndpointIncarnation
 
-# Permits that are kept while nobody asks: one for the next request, and one more as the reserve of
-# urgent requests.
+# Smallest bucket size: one permit for the next request, and one that can be reserved for urgent
+# requests.
 KEPT_PERMITS = 2.0
-# Seconds of a rate that are kept where that is more. At high rates it outlasts the time between a
-# permit and the next question.
+# Bucket size as seconds of the rate, where that is more. At high rates it covers the time between
+# the refill of a permit and the next call for one.
 KEPT_S = 0.06
-# Turns given for each permit. Those beyond one make up for instances that have no request when
-# their turn comes.
+# Retry times assigned per permit. The excess over 1 makes up for instances that have no request
+# left at their retry time.
 TURNS_PER_PERMIT = 1.5
-# Turns a second beyond that. At low rates a permit would else wait long for somebody who asks.
+# Further retry times per second. Without them a permit would stay unused for long at low rates.
 TURNS_PER_S = 4.0
-# Longest time in seconds for which an instance is told not to ask. It bounds how long a permit is
-# left over when the instances that had asked before have no more requests, or the rate rises.
+# Longest wait in seconds before an instance may retry. It bounds how long a permit stays unused
+# when the refused instances have no more requests, or when the rate rises.
 LONGEST_WAIT_S = 4.0
-# Shortest such time in seconds, so that a request does not ask the same granter again.
+# Shortest such wait in seconds, so that a request does not call the same granter again.
 LEAST_WAIT_S = 0.02
-# Seconds beyond its turn for which a refused urgent request keeps the last permit from others.
+# Seconds after its retry time for which the last permit stays reserved for an urgent request.
 RESERVED_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The answer to a question for a permit.
+    """The answer to a request for a permit.
 
     Attributes:
-      wait_s: If it was not granted, seconds until the next question.
+      granted: Whether one request may be sent.
+      wait_s: If not granted, seconds until the instance may retry.
     """
 
     granted: bool
@@ -49,14 +51,14 @@
 
 @dataclass
 class _Permits:
-    """The permits of one endpoint.
+    """The token bucket of one endpoint.
 
     Attributes:
-      left: How many there are.
-      counted_s: When that was worked out.
-      next_turn_s: The earliest turn that nobody was given yet.
-      urgent: Priority of the most urgent request that was refused lately.
-      urgent_until_s: Until when the last permit is kept for it.
+      left: Number of permits.
+      refilled_s: Time of the last refill.
+      next_retry_s: The earliest retry time that is not assigned yet.
+      urgent: Priority for which the last permit is reserved.
+      urgent_until_s: When that reservation ends.
     """
 
     left: float
@@ -73,16 +75,17 @@
         """Start without permits.
 
         Args:
-          clock: Returns the moment in seconds.
+          clock: Returns monotonic time in seconds.
         """
         self._clock = clock
         self._permits: dict[EndpointIncarnation, _Permits] = {}
 
     def ask(self, incarnation: EndpointIncarnation, per_s: float, priority: int) -> Grant:
-        """Return whether one request may be sent to an endpoint now.
+        """Take a permit for one request to an endpoint if there is one.
 
         Args:
-          per_s: What this instance may grant, in requests a second; above zero.
+          incarnation: The endpoint.
+          per_s: Rate that this instance may grant, in requests a second; above zero.
           priority: Rank of the request, 0 most urgent.
         """
         now_s = self._clock()
@@ -99,18 +102,18 @@
         return Grant(False, wait_s)
 
     def give_back(self, incarnation: EndpointIncarnation) -> None:
-        """Take back a permit whose request surely did not reach the endpoint."""
+        """Return a permit whose request certainly did not reach the endpoint."""
         permits = self._permits.get(incarnation)
         if permits is not None:
             permits.left += 1.0
 
     def keep_only(self, incarnations: Set[EndpointIncarnation]) -> None:
-        """Forget all endpoints but those that have a rate."""
+        """Drop the permits of all endpoints except the given ones, which have a rate."""
         for incarnation in self._permits.keys() - incarnations:
             del self._permits[incarnation]
 
     def _counted(self, incarnation: EndpointIncarnation, per_s: float, now_s: float) -> _Permits:
-        """Return the permits of an endpoint with those that came up since they were counted."""
+        """Return the bucket of an endpoint, refilled up to now."""
         permits = self._permits.get(incarnation)
         if permits is None:
             permits = self._permits[incarnation] = _Permits(0.0, now_s, now_s)
@@ -121,15 +124,18 @@
 
 
 def _most_kept(per_s: float) -> float:
-    """Return how many permits are kept while nobody asks."""
+    """Return the bucket size: how many unused permits are kept."""
     return max(KEPT_PERMITS, per_s * KEPT_S)
 
 
 def _turn(permits: _Permits, next_s: float, per_s: float, now_s: float) -> float:
-    """Return the seconds until the turn of an instance that is refused, and count the turn.
+    """Assign a retry time to a refused instance and return the seconds until then.
 
     Args:
+      permits: The bucket of the endpoint.
       next_s: Seconds until there is a permit for its request.
+      per_s: Rate of the bucket.
+      now_s: The current time.
     """
     latest_s = now_s + LONGEST_WAIT_S
     turn_s = min(latest_s, max(now_s + next_s, permits.next_turn_s))
--- a/packages/springbridge/springbridge/rates/grants_test.py
+++ b/packages/springbridge/springbridge/rates/grants_test.py
@@ -1,4 +1,4 @@
-"""Tests of permits: never many more than the rate, none lost while instances ask, urgent first."""
+"""Tests of grants.py: the rate is kept, few permits are lost, and urgent requests come first."""
 
 import random
 
@@ -18,14 +18,14 @@
 
 @pytest.fixture
 def grants(clock):
-    """Return grants that count since now."""
+    """Return grants with an empty bucket for ENDPOINT."""
     made = RateGrants(clock)
     made.ask(ENDPOINT, 1.0, 1)
     return made
 
 
 def granted(grants, clock, per_s, seconds, asks_per_s, priority=1):
-    """Ask at regular times, and return how many permits were granted."""
+    """Request permits at regular times, and return how many were granted."""
     count = 0
     for _ in range(round(seconds * asks_per_s)):
         clock.now_s += 1.0 / asks_per_s
@@ -73,7 +73,7 @@
 
 
 def test_instances_that_keep_to_their_turns_use_nearly_all_permits(clock):
-    # A few instances ask, which have more requests than the endpoint takes.
+    # Three instances, which have more requests than the endpoint takes.
     grants = RateGrants(clock)
     rng = random.Random(1)
     begin_s, used = clock.now_s, 0
--- a/packages/springbridge/springbridge/rates/held_back.py
+++ b/packages/springbridge/springbridge/rates/held_back.py
@@ -1,30 +1,31 @@
-"""Endpoints to which an instance sends nothing now, and when callers refused for it may return.
-
-Decided: the endpoints whose granter has told this instance to wait, for a request of some priority;
-and, where there are no others, the Retry-After of a refused caller.
-Inputs: the waits that granters told, with the priority that was refused, and the moment.
-Outcome: ids of endpoints; seconds. What a request was refused does not hold back a more urgent one.
-Why: an endpoint whose rate is spent would be asked for in vain by each request, since it has the
-least to do. Callers that return together would be refused together, so each is sent back later than
-the one before by about the time in which this instance gets another permit.
+"""Back-off from rate-limited endpoints: which to skip for now, and the Retry-After of callers.
+
+When a granter refuses a permit, this instance sends no request of that priority or a less urgent
+one to the endpoint until the granter's wait is over. More urgent requests are not held back. If a
+service has no other endpoints, callers are refused with a Retry-After.
+
+Without the back-off every request would ask for a permit of the endpoint in vain, since one whose
+rate is used up is the least loaded. Callers that retry at the same time would be refused together,
+so each gets a later Retry-After than the previous one, by about the time in which this instance
+gets another permit.
 """
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-# Longest Retry-After in seconds. A rate may be gone by then.
+# Longest Retry-After in seconds. The endpoint may have no rate any more by then.
 LONGEST_RETURN_S = 8.0
-# Shortest Retry-After in seconds, about what a new connection takes.
+# Shortest Retry-After in seconds, about the time that a new connection takes.
 LEAST_RETURN_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """What a granter told.
+    """A wait imposed by a granter.
 
     Attributes:
       until_s: When this instance may ask again.
-      wait_s: How long that was then, in seconds.
+      wait_s: The whole wait in seconds.
     """
 
     until_s: float
@@ -32,10 +33,10 @@
 
 
 class HeldBack:
-    """The endpoints that this instance waits for."""
+    """The endpoints to which this instance may not send now, by priority."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start without any."""
+        """Start with no endpoint held back; the clock returns monotonic seconds."""
         self._clock = clock
         self._holds: dict[str, dict[int, Hold]] = {}
         self._next_return_s: dict[str, float] = {}
@@ -46,7 +47,7 @@
         self._holds.setdefault(endpoint_id, {})[priority] = Hold(until_s, wait_s)
 
     def ids(self, priority: int) -> set[str]:
-        """Return the endpoints that get no request of a priority now."""
+        """Return the endpoints that must not get a request of a priority now."""
         now_s = self._clock()
         return {
             endpoint_id
@@ -55,10 +56,12 @@
         }
 
     def return_s(self, service: str, endpoint_ids: Collection[str], priority: int) -> float:
-        """Return the Retry-After of a caller for whom all endpoints are held back, in seconds.
+        """Return the Retry-After in seconds of a caller for whom all endpoints are held back.
 
         Args:
-          endpoint_ids: The endpoints of the service that are held back; a turn may just have come.
+          service: Name of the service.
+          endpoint_ids: The endpoints of the service that are held back; a wait may just have ended.
+          priority: Rank of the caller's request, 0 most urgent.
         """
         now_s = self._clock()
         holds = [
@@ -75,7 +78,7 @@
         return return_s - now_s
 
     def forget_old(self) -> None:
-        """Drop what is over."""
+        """Drop the waits and the retry times that have passed."""
         now_s = self._clock()
         for endpoint_id, holds in list(self._holds.items()):
             if all(hold.until_s <= now_s for hold in holds.values()):
--- a/packages/springbridge/springbridge/rates/held_back_test.py
+++ b/packages/springbridge/springbridge/rates/held_back_test.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance holds back, and when it tells refused callers to come back."""
+"""Tests of held_back.py: the back-off from endpoints, and the Retry-After of refused callers."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/rates/rate_table.py
+++ b/packages/springbridge/springbridge/rates/rate_table.py
@@ -1,11 +1,11 @@
-"""The rates that are in force, by endpoint, as one instance knows them.
+"""Table of the request rates in force, by endpoint, as known to one instance.
 
-A rate that an endpoint names holds until an answer says otherwise, however long the endpoint is
-asked nothing: the next request that is allowed finds out. What ended is kept for a while, so that
-older answers and older news do not bring it back.
+A rate that an endpoint states holds until a response says otherwise, however long no request is
+sent to the endpoint: the next permitted request will find out. The end of a rate is kept for a
+while, so that older responses and delayed messages do not restore the rate.
 
-The operators may name a rate for endpoints that are cold. It is not news that instances tell each
-other: each sees on the list who is cold. Of two rates of an endpoint the lower one is in force.
+The operators may set a rate for endpoints that are cold. Instances do not exchange it, as each sees
+on the list which endpoints are cold. Of two rates of an endpoint the lower one is in force.
 """
 
 from collections.abc import Callable, Mapping, Set
@@ -14,13 +14,13 @@
 from springbridge.rates.statements import Statement, joined, replaces
 from springbridge.routing.records import EndpointIncarnation
 
-# Seconds for which the end of a rate is kept. Longer than an answer or news of it is under way.
+# Seconds for which the end of a rate is kept. Longer than a response or a message about it takes.
 KEEP_ENDED_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class RateChange:
-    """A rate that came, changed or ended; None stands for no limit."""
+    """A rate that was set, changed or removed; None means no limit."""
 
     incarnation: EndpointIncarnation
     before: float | None
@@ -28,25 +28,25 @@
 
 
 class RateTable:
-    """What this instance knows of the rates of endpoints."""
+    """The rates of endpoints known to this instance."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start without a rate."""
+        """Start without rates; the clock must be that of the statements' times."""
         self._clock = clock
         self._statements: dict[EndpointIncarnation, Statement] = {}
         self._limited: set[EndpointIncarnation] = set()
         self._cold: dict[EndpointIncarnation, float] = {}
 
     def __len__(self) -> int:
-        """Return how many rates there are."""
+        """Return the number of rates: of endpoints that state one, and of cold ones."""
         return len(self._limited) + len(self._cold)
 
     def limited(self) -> Set[EndpointIncarnation]:
-        """Return the endpoints that have a rate."""
+        """Return the endpoints that have a rate, stated or as cold ones."""
         return self._limited | self._cold.keys()
 
     def named(self) -> Set[EndpointIncarnation]:
-        """Return the endpoints that name a rate themselves."""
+        """Return the endpoints that state a rate themselves."""
         return self._limited
 
     def is_limited(self, endpoint_id: str) -> bool:
@@ -54,7 +54,7 @@
         return any(each.endpoint_id == endpoint_id for each in self.limited())
 
     def per_s(self, incarnation: EndpointIncarnation) -> float | None:
-        """Return an endpoint's rate, None if it has none."""
+        """Return an endpoint's rate in requests a second, None if it has none."""
         known = self._statements.get(incarnation)
         rates = [known.per_s if known else None, self._cold.get(incarnation)]
         return min((rate for rate in rates if rate is not None), default=None)
@@ -72,7 +72,7 @@
         return self._statements.get(incarnation)
 
     def take(self, incarnation: EndpointIncarnation, told: Statement) -> RateChange | None:
-        """Take in a statement, and return what it changed, None for nothing."""
+        """Merge a statement and return the change of the stated rate, None if there is none."""
         known = self._statements.get(incarnation)
         if known is None and told.per_s is None:
             return None
@@ -89,7 +89,7 @@
         return RateChange(incarnation, known.per_s if known else None, told.per_s)
 
     def keep_only(self, incarnations: Set[EndpointIncarnation]) -> None:
-        """Forget endpoints that are gone, and ends of rates that are old."""
+        """Drop all endpoints but the given ones, and ends of rates older than KEEP_ENDED_S."""
         oldest_s = self._clock() - KEEP_ENDED_S
         for incarnation, known in list(self._statements.items()):
             ended = known.per_s is None and known.received_s < oldest_s
--- a/packages/springbridge/springbridge/rates/rate_table_test.py
+++ b/packages/springbridge/springbridge/rates/rate_table_test.py
@@ -1,4 +1,4 @@
-"""Tests of the rates that are in force: they hold until an answer says otherwise."""
+"""Tests of rate_table.py: a rate stays in force until a response says otherwise."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -62,8 +62,8 @@
     assert_that(table.is_limited("e1"), Is(False))
 
 
-# Guards against requests that look for an endpoint for ever: one that has a rate, and is not among
-# those that have.
+# Guards against requests that search for an endpoint for ever: an older statement about an earlier
+# start must not remove an endpoint that has a rate from those that have one.
 @pytest.mark.parametrize("older", [Statement(2.0, 94.0, 95.0), Statement(None, 94.0, 95.0)])
 def test_older_news_of_an_earlier_start_leaves_the_rate_of_the_later_one(table, older):
     started_again = EndpointIncarnation("e1", 2000)
--- a/packages/springbridge/springbridge/rates/statements.py
+++ b/packages/springbridge/springbridge/rates/statements.py
@@ -1,30 +1,31 @@
-"""What an endpoint's answers say of the rate that it takes, and which of two is the newer one.
-
-Decided: whether a statement replaces the one that is known of the same endpoint.
-Inputs: both statements, each with the rate and with when its request was sent and its answer came.
-Outcome: yes or no, and the rate that a stated number stands for.
-Why: answers on several connections overtake one another, and instances tell each other what they
-got. An answer was made between the sending of its request and its arrival, so that one whose
-request was sent after the other had arrived is surely newer. Where neither is, the stricter one
-counts: a limit that holds for one request too long does less harm than one that is missed.
+"""Rate statements in an endpoint's responses, and which of two statements is in force.
+
+Decides whether a statement replaces the known one of the same endpoint, from the rates and from
+when each request was sent and its response arrived.
+
+Responses on several connections overtake one another, and instances forward statements to each
+other. A response was produced between the sending of its request and its arrival, so one whose
+request was sent after the other had arrived is certainly newer. If neither is certainly newer, the
+stricter statement wins: a limit that holds for one request too long does less harm than one that is
+missed.
 """
 
 from dataclasses import dataclass
 
-# Lowest rate that is kept to, in requests a second; also what a rate of 0 stands for. An endpoint
-# that is asked nothing could not say that its need is over.
+# Lowest rate that is applied, in requests a second; lower ones and 0 count as this one. An endpoint
+# that gets no requests could not state that the limit is over.
 LEAST_PER_S = 0.2
-# Rates from here on are no limit: no instance sends so much.
+# Rate in requests a second from which there is no limit: no instance sends so many.
 NO_LIMIT_PER_S = 100_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class StatedRate:
-    """What the head of an answer says of its endpoint's rate.
+    """The rate header of a response, as parsed.
 
     Attributes:
-      per_s: Requests a second from all instances together; None if the answer names no rate.
-      unreadable: What stands there in place of a number, "" if it can be read.
+      per_s: Requests a second from all instances together; None if the response states no rate.
+      unreadable: The value if it is not a number, "" if it is one.
     """
 
     per_s: float | None = None
@@ -33,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """The rate that an answer named, and when.
+    """The rate that a response stated, and when.
 
     Attributes:
-      per_s: The rate to keep to, None for no limit.
-      sent_s: When the request was sent, on the clock of all ages.
-      received_s: When the head of its answer came.
+      per_s: The rate to apply, None for no limit.
+      sent_s: When the request was sent, on the instance's monotonic clock.
+      received_s: When the head of its response arrived.
     """
 
     per_s: float | None
@@ -47,26 +48,26 @@
 
 
 def is_readable(stated: StatedRate) -> bool:
-    """Return whether a stated rate can be used; one that cannot changes nothing."""
+    """Return whether a stated rate is valid; an invalid one changes nothing."""
     if stated.unreadable:
         return False
     return stated.per_s is None or stated.per_s >= 0.0
 
 
 def rate_of(stated: StatedRate) -> float | None:
-    """Return the rate to keep to for a readable statement, None for no limit."""
+    """Return the rate to apply for a valid statement, None for no limit."""
     if stated.per_s is None or stated.per_s >= NO_LIMIT_PER_S:
         return None
     return max(LEAST_PER_S, stated.per_s)
 
 
 def is_literal(stated: StatedRate) -> bool:
-    """Return whether a stated rate is kept to as it stands, so that nobody has to be told."""
+    """Return whether a stated rate is applied unchanged, so that nothing has to be logged."""
     return is_readable(stated) and rate_of(stated) == stated.per_s
 
 
 def replaces(told: Statement, known: Statement) -> bool:
-    """Return whether a statement replaces the one that is known."""
+    """Return whether a statement replaces the known one."""
     if told.sent_s >= known.received_s:
         return True
     if told.received_s <= known.sent_s:
@@ -75,7 +76,7 @@
 
 
 def joined(one: Statement, other: Statement) -> Statement:
-    """Return what two statements of the same rate say together."""
+    """Return two statements of the same rate as one, with the later of both times."""
     sent_s = max(one.sent_s, other.sent_s)
     return Statement(one.per_s, sent_s, max(one.received_s, other.received_s))
 
--- a/packages/springbridge/springbridge/rates/statements_test.py
+++ b/packages/springbridge/springbridge/rates/statements_test.py
@@ -1,4 +1,4 @@
-"""Tests of which statement about a rate is the newer one, and of what a number stands for."""
+"""Tests of rates/statements.py: which rate statement wins, and which rate a number stands for."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -21,13 +21,13 @@
 @pytest.mark.parametrize(
     ("told", "expected"),
     [
-        # Its request was sent after the known answer had come.
+        # Its request was sent after the known response had arrived.
         (Statement(None, 11.0, 11.5), True),
         (Statement(5.0, 11.0, 11.5), True),
-        # Its answer had come before the known one was asked for.
+        # Its response arrived before the request of the known one was sent.
         (Statement(1.0, 8.0, 10.0), False),
         (Statement(None, 8.0, 9.0), False),
-        # Either may be the newer one: the stricter counts.
+        # Either may be the newer one: the stricter one wins.
         (Statement(None, 10.5, 12.0), False),
         (Statement(5.0, 10.5, 12.0), False),
         (Statement(1.0, 9.0, 10.5), True),
@@ -57,7 +57,7 @@
         (StatedRate(), None, True),
         (StatedRate(0.5), 0.5, True),
         (StatedRate(200.0), 200.0, True),
-        # It could not say that its need is over if it were asked nothing.
+        # Without any requests the endpoint could not state that the limit is over.
         (StatedRate(0.0), LEAST_PER_S, False),
         (StatedRate(0.01), LEAST_PER_S, False),
         (StatedRate(float("inf")), None, False),
--- a/packages/springbridge/springbridge/reached_share_test.py
+++ b/packages/springbridge/springbridge/reached_share_test.py
@@ -1,4 +1,4 @@
-"""Tests of which part of the instances a node takes itself to reach."""
+"""Tests of Membership.reached_share(): the share of the instances that a node reaches."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def view(clock):
-    """Return the view of a node that has just heard of three others."""
+    """Return the view of a node that has just received heartbeats of three others."""
     made = Membership(member("me"), clock, random.Random(1))
     made.merge([member("a", heartbeat=1), member("b", heartbeat=1), member("c", heartbeat=1)])
     return made
--- a/packages/springbridge/springbridge/statements/answer_statements.py
+++ b/packages/springbridge/springbridge/statements/answer_statements.py
@@ -1,7 +1,7 @@
-"""The records of what the head of one answer says of its endpoint.
+"""Records of the statements that an endpoint makes in the headers of one response.
 
-Decided: nothing. The platform's adapter fills them in from headers, and leaves what a value stands
-for to the rules of this package and of `springbridge.rates`.
+The platform's adapter fills them in from the headers; how the values are interpreted is left to
+this package and to `springbridge.rates`.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableStatement:
-    """A header about the endpoint whose value says nothing that can be used.
+    """A header about the endpoint whose value cannot be parsed.
 
     Attributes:
       header: Name of the header.
@@ -24,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerStatements:
-    """What the head of an answer says of its endpoint.
+    """The statements in the headers of one response.
 
     Attributes:
-      rate: What it says of the rate that the endpoint takes.
-      leaves: The endpoint is about to leave.
-      rest_s: Seconds for which the endpoint wants nothing from this instance; None if it does not
-        ask for rest.
-      unreadable: Headers that were passed over, but for one with a rate.
-      unknown: Names of headers that this build does not know.
+      rate: The rate that the endpoint takes.
+      leaves: Whether the endpoint is about to leave.
+      rest_s: Seconds for which the endpoint wants no requests from this instance; None if it does
+        not ask for a rest.
+      unreadable: Headers that were ignored, except one with a rate.
+      unknown: Names of headers that this version does not know.
     """
 
     rate: StatedRate = StatedRate()
--- a/packages/springbridge/springbridge/statements/leaving.py
+++ b/packages/springbridge/springbridge/statements/leaving.py
@@ -1,34 +1,34 @@
-"""When an endpoint counts as leaving, and how far its word reaches.
-
-Decided: whether an endpoint gets no request any more, whether it gets one only if its service has
-no other endpoint, and until when the last endpoints of a service are used that all leave.
-Inputs: when this instance first heard the endpoint say that it leaves, and when a peer first told
-that it did, in seconds of a monotonic clock.
-Outcome: yes or no.
-Why: an endpoint leaves once, so its own word is final for its incarnation, whatever a list, a later
-answer or a peer says. The word of a peer may be wrong, so it only puts the endpoint behind the
-others, for a time that no repetition prolongs; a request that comes there after it finds out.
+"""Leaving endpoints: when to stop sending requests to an endpoint that says it is leaving.
+
+Decides whether an endpoint gets no more requests, whether it gets one only if its service has no
+other endpoint, and until when the endpoints of a service may still be used if all of them are
+leaving. Inputs are when this instance first got the endpoint's own statement that it is leaving,
+and when a peer first reported one, in seconds of a monotonic clock.
+
+An endpoint leaves once, so its own statement is final for its incarnation, whatever a list, a later
+response or a peer says. A peer's report may be wrong, so it only ranks the endpoint behind the
+others, for a time that repeated reports do not extend; a later request to the endpoint finds out.
 """
 
 from dataclasses import dataclass
 
-# Seconds by which the last request to an endpoint that leaves, or has left, is sent before the
-# operators' bound. It is sent before that moment and not at it.
+# Seconds before the operators' drain bound at which the last request to a leaving or gone endpoint
+# may be sent, so that it is sent before the bound and not at it.
 DRAIN_MARGIN_S = 0.1
-# Seconds after the endpoint's word for which it may be the last resort at the most.
+# Longest time in seconds for which an endpoint may be used as the last resort after its statement.
 LONGEST_LAST_RESORT_S = 1.9
-# Seconds for which a peer's word puts an endpoint behind the others. The list, which is read every
-# half second, says the same long before unless the store is out.
+# Seconds for which a peer's report ranks an endpoint behind the others. The list, which is read
+# every half second, shows the same long before that unless the store is unavailable.
 PEERS_WORD_S = 10.0
 
 
 @dataclass(slots=True)
 class Leaving:
-    """What is known of whether an endpoint leaves.
+    """When an endpoint was first known to be leaving.
 
     Attributes:
-      heard_s: When this instance first heard the endpoint say so; None if it did not.
-      told_s: When a peer first told of it; None if none did.
+      heard_s: When this instance first got the endpoint's own statement; None if it did not.
+      told_s: When a peer first reported one; None if none did.
     """
 
     heard_s: float | None = None
@@ -36,32 +36,32 @@
 
     @property
     def is_certain(self) -> bool:
-        """Return whether the endpoint itself said so to this instance."""
+        """Return whether this instance got the endpoint's own statement."""
         return self.heard_s is not None
 
     @property
     def is_known(self) -> bool:
-        """Return whether the endpoint or a peer said so."""
+        """Return whether the endpoint stated or a peer reported that it is leaving."""
         return self.is_certain or self.told_s is not None
 
 
 def is_likely(leaving: Leaving, now_s: float) -> bool:
-    """Return whether an endpoint gets a request only if there is no other, on a peer's word."""
+    """Return whether a peer's report makes an endpoint get requests only if there is no other."""
     return leaving.told_s is not None and now_s < leaving.told_s + PEERS_WORD_S
 
 
 def within_bound_s(wanted_s: float, drain_s: float) -> float:
-    """Return for how many seconds an endpoint that leaves, or has left, may still be used.
+    """Return for how many seconds a leaving or gone endpoint may still be used.
 
     Args:
-      wanted_s: For how long it would be.
-      drain_s: The operators' bound: seconds after which it must get no more requests.
+      wanted_s: Seconds for which it would be used without the bound.
+      drain_s: The operators' bound: seconds after which it must not get any more requests.
     """
     return max(0.0, min(wanted_s, drain_s - DRAIN_MARGIN_S))
 
 
 def is_last_resort(leaving: Leaving, drain_s: float, now_s: float) -> bool:
-    """Return whether an endpoint that leaves may still be used if all of its service leave."""
+    """Return whether a leaving endpoint may still be used if its whole service is leaving."""
     if leaving.heard_s is None:
         return False
     return now_s < leaving.heard_s + within_bound_s(LONGEST_LAST_RESORT_S, drain_s)
--- a/packages/springbridge/springbridge/statements/leaving_test.py
+++ b/packages/springbridge/springbridge/statements/leaving_test.py
@@ -1,4 +1,4 @@
-"""Tests of leaving.py: whose word counts for how long."""
+"""Tests of leaving.py: how long an endpoint's statement and a peer's report have an effect."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/statements/rests.py
+++ b/packages/springbridge/springbridge/statements/rests.py
@@ -1,25 +1,24 @@
-"""When an endpoint that asked for rest gets requests of this instance again.
-
-Decided: whether an endpoint may get a request now.
-Inputs: when its rest ends, when the first request after that was sent, and the moment, in seconds
-of a monotonic clock.
-Outcome: yes or no.
-Why: an endpoint that turns requests away at once looks idle and would attract all of them. A rest
-is a matter between the endpoint and the instance that it answered; other instances only put the
-endpoint behind the others meanwhile, which spares callers a refusal at each of them. At its end one
-request is sent, and all others follow once that one was answered, or was not turned away for a
-while; if they went together, they would be turned away together.
+"""Rests: an endpoint that rejects requests for a while, and when it gets requests again.
+
+Decides whether an endpoint may get a request now, from the end of its rest and the time of the
+first request after that, in seconds of a monotonic clock.
+
+An endpoint that rejects requests at once looks idle and would attract all of them. A rest applies
+between the endpoint and the instance that it responded to; other instances only rank the endpoint
+behind the others meanwhile, which spares callers a rejection at each of them. When the rest ends,
+one probe request is sent (as in a half-open circuit breaker). The others follow once that one was
+answered, or was not rejected for a while; if sent together, they would be rejected together.
 """
 
 from dataclasses import dataclass
 
-# Longest rest in seconds that is kept to as it stands; a longer one counts as this long. An hour.
+# Longest rest in seconds; a longer one counts as this long. An hour.
 LONGEST_REST_S = 3600.0
-# Seconds after which the first request counts as taken though no answer has begun. An endpoint that
-# has no room says so at once.
+# Seconds after which the probe request counts as accepted although no response has begun. An
+# endpoint without free capacity rejects a request at once.
 TRIAL_S = 0.25
 
-# Longest time in seconds for which the rest of a peer puts an endpoint behind the others here.
+# Longest time in seconds for which a rest that a peer reported ranks an endpoint behind the others.
 LONGEST_PEERS_REST_S = 10.0
 
 
@@ -29,7 +28,7 @@
 
     Attributes:
       until_s: When it ends.
-      trial_s: When the first request after its end was sent; None before.
+      trial_s: When the probe request after its end was sent; None before.
     """
 
     until_s: float
@@ -37,12 +36,12 @@
 
 
 def rest_until(known: Rest | None, rest_s: float, received_s: float) -> Rest:
-    """Return the rest after an answer that asks for one.
+    """Return the rest after a response that asks for one.
 
     Args:
-      known: The rest before, None if there was none. Of two that overlap the later end counts.
-      rest_s: How long the endpoint wants nothing, in seconds.
-      received_s: When the answer came.
+      known: The previous rest, None if there was none. Of two the later end counts.
+      rest_s: Seconds for which the endpoint wants no requests.
+      received_s: When the response arrived.
     """
     until_s = received_s + min(rest_s, LONGEST_REST_S)
     return Rest(until_s if known is None else max(known.until_s, until_s))
@@ -56,14 +55,15 @@
 
 
 def after_send(rest: Rest, now_s: float) -> Rest | None:
-    """Return the rest once a request is sent that may be; None if it is over."""
+    """Return the rest after a request that may_send() allowed; None if the rest is over."""
     return Rest(rest.until_s, now_s) if rest.trial_s is None else None
 
 
 def is_over(rest: Rest, sent_s: float) -> bool:
-    """Return whether an answer that asks for no rest ends one.
+    """Return whether a response that does not ask for a rest ends the current one.
 
     Args:
-      sent_s: When the request of that answer was sent; answers may overtake each other.
+      rest: The current rest.
+      sent_s: When the request was sent; responses may overtake each other.
     """
     return sent_s >= rest.until_s
--- a/packages/springbridge/springbridge/statements/returns_test.py
+++ b/packages/springbridge/springbridge/statements/returns_test.py
@@ -1,4 +1,4 @@
-"""Tests of returns.py: who comes back when."""
+"""Tests of returns.py: refused callers retry evenly spread after the first rest ends."""
 
 import itertools
 
@@ -15,7 +15,7 @@
     assert_that(times[0], Equals(2.5))
     assert_that(times[-1], LessThan(2.5 + SPREAD_S))
     gaps = [later - earlier for earlier, later in itertools.pairwise(times)]
-    # Neither a crowd nor a time in which nobody comes.
+    # Neither many at once nor a long gap.
     assert_that(min(gaps), GreaterThan(0.2 * SPREAD_S / callers))
     assert_that(max(gaps), LessThan(3.0 * SPREAD_S / callers))
 
--- a/packages/springbridge/springbridge/statements/statement_table.py
+++ b/packages/springbridge/springbridge/statements/statement_table.py
@@ -1,7 +1,7 @@
-"""Keeps what each incarnation of an endpoint has said of itself.
+"""Table of the statements made by each incarnation of an endpoint.
 
-It is kept beyond the endpoint's entry on the list: an entry may lapse and come back, or come back
-from an older copy of the store, and the word of its endpoint still holds.
+Statements are kept longer than the endpoint's entry on the list: an entry may expire and come back,
+also from an older copy of the store, and the endpoint's statements still hold.
 """
 
 from collections.abc import Callable, Iterator, Set
@@ -12,19 +12,19 @@
 from springbridge.statements.leaving import Leaving
 from springbridge.statements.rests import Rest
 
-# Seconds for which the word of an endpoint is kept that is neither listed nor has requests. Longer
-# than an outage of the store after which its entry may come back.
+# Seconds for which statements are kept of an endpoint that is neither listed nor has requests.
+# Longer than an outage of the store after which its entry may come back.
 KEEP_GONE_S = 600.0
 
 
 @dataclass(slots=True)
 class EndpointStatements:
-    """What one incarnation has said.
+    """The statements of one incarnation of an endpoint.
 
     Attributes:
-      rest: The rest that it asked for, None without one.
-      peers_rest_until_s: When the latest rest ends that it asked a peer for, as far as is told.
-      behind_until_s: Until when that puts it behind the others for this instance.
+      rest: The rest that it asked this instance for, None without one.
+      peers_rest_until_s: When the latest rest ends that peers have reported.
+      behind_until_s: Until when this instance ranks it behind the others because of that.
       known_s: When it was last known to be listed or to have requests.
     """
 
@@ -35,20 +35,23 @@
     known_s: float = 0.0
 
     def wants_nothing(self, now_s: float) -> bool:
-        """Return whether it has told this instance to send it nothing for now."""
+        """Return whether it has asked this instance not to send requests now."""
         return self.leaving.is_certain or (self.rest is not None and now_s < self.rest.until_s)
 
 
 class StatementTable:
-    """What this instance knows of the statements of endpoints."""
+    """The statements of endpoints known to this instance."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start without any."""
+        """Create an empty table; the clock returns monotonic seconds."""
         self._clock = clock
         self._said: dict[EndpointIncarnation, EndpointStatements] = {}
 
     def of(self, incarnation: EndpointIncarnation) -> EndpointStatements:
-        """Return the statements of an incarnation; what they hold changes with later answers."""
+        """Return the statements of an incarnation, a new record if there is none.
+
+        Later responses change the record in place.
+        """
         found = self._said.get(incarnation)
         if found is None:
             found = self._said[incarnation] = EndpointStatements(known_s=self._clock())
@@ -59,11 +62,11 @@
         return self._said.get(incarnation)
 
     def keep_under(self, incarnation: EndpointIncarnation, said: EndpointStatements) -> None:
-        """Keep what an endpoint said under its incarnation, once its start is known."""
+        """Store an endpoint's statements under its incarnation once its start time is known."""
         self._said[incarnation] = said
 
     def leaving(self) -> Iterator[EndpointIncarnation]:
-        """Return the incarnations that said to this instance that they leave."""
+        """Return the incarnations that stated to this instance that they are leaving."""
         return (each for each, said in self._said.items() if said.leaving.is_certain)
 
     def resting(self) -> Iterator[tuple[EndpointIncarnation, Rest]]:
@@ -74,23 +77,23 @@
                 yield incarnation, said.rest
 
     def heard_leaving(self, incarnation: EndpointIncarnation) -> bool:
-        """Note that an endpoint says that it leaves, and return whether that is new."""
+        """Record an endpoint's statement that it is leaving; return whether that is new."""
         leaving = self.of(incarnation).leaving
         if leaving.is_certain:
             return False
-        # The list may have named the run before when the first word came, and it was kept for that
-        # one. The time as a last resort does not begin anew.
+        # The list may still have had the previous run when the first statement came, which was then
+        # recorded for that run. The time as a last resort must not start again.
         leaving.heard_s = min(self._words_of(incarnation.endpoint_id), default=self._clock())
         return True
 
     def _words_of(self, endpoint_id: str) -> Iterator[float]:
-        """Return when each run of an endpoint said that it leaves."""
+        """Return when each run of an endpoint first stated that it is leaving."""
         for incarnation, said in self._said.items():
             if incarnation.endpoint_id == endpoint_id and said.leaving.heard_s is not None:
                 yield said.leaving.heard_s
 
     def told_leaving(self, incarnation: EndpointIncarnation) -> bool:
-        """Note that a peer heard it say so, and return whether that is new."""
+        """Record a peer's report that an endpoint is leaving; return whether that is new."""
         leaving = self.of(incarnation).leaving
         if leaving.is_known:
             return False
@@ -98,17 +101,18 @@
         return True
 
     def asked_rest(self, incarnation: EndpointIncarnation, rest_s: float) -> Rest:
-        """Note that an endpoint asks for rest, and return its rest as it is now."""
+        """Record that an endpoint asks for a rest; return the resulting rest."""
         said = self.of(incarnation)
         said.rest = rests.rest_until(said.rest, rest_s, self._clock())
         return said.rest
 
     def told_rest(self, incarnation: EndpointIncarnation, rest_s: float, spread_s: float) -> bool:
-        """Note that an endpoint asked a peer for rest, and return whether that is new.
+        """Record a peer's report of a rest; return whether no such rest was known.
 
         Args:
-          rest_s: What is left of that rest, in seconds.
-          spread_s: Seconds by which this instance comes back later than that.
+          incarnation: The endpoint.
+          rest_s: Remaining seconds of that rest.
+          spread_s: Seconds by which this instance resumes later than that.
         """
         said = self.of(incarnation)
         now_s = self._clock()
@@ -119,17 +123,18 @@
         return not was_told
 
     def asked_no_rest(self, incarnation: EndpointIncarnation, sent_s: float) -> None:
-        """Note an answer without a wish for rest.
+        """Record a response that does not ask for a rest; it may end the current one.
 
         Args:
-          sent_s: When its request was sent.
+          incarnation: The endpoint.
+          sent_s: When the request was sent.
         """
         said = self._said.get(incarnation)
         if said is not None and said.rest is not None and rests.is_over(said.rest, sent_s):
             said.rest = None
 
     def forget_gone(self, known: Set[EndpointIncarnation]) -> None:
-        """Drop what belongs to endpoints that have been gone for long.
+        """Drop the statements of endpoints that have been gone for KEEP_GONE_S.
 
         Args:
           known: The endpoints that are listed or still have requests.
--- a/packages/springbridge/springbridge/statements/statement_table_test.py
+++ b/packages/springbridge/springbridge/statements/statement_table_test.py
@@ -1,4 +1,4 @@
-"""Tests of statement_table.py: what holds for which incarnation, and for how long."""
+"""Tests of statement_table.py: which statements hold for an incarnation, and for how long."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -73,7 +73,7 @@
 
 
 def test_the_time_as_a_last_resort_does_not_begin_anew_with_a_late_entry(table, clock):
-    # The list still names the run before while the later one answers.
+    # The list still has the previous run while the later one responds.
     table.heard_leaving(ONE)
     clock.now_s = 100.4
     assert_that(table.heard_leaving(AGAIN), Is(True))
--- a/packages/springbridge/springbridge/store_stamp.py
+++ b/packages/springbridge/springbridge/store_stamp.py
@@ -1,17 +1,17 @@
-"""Orders what a store says across the moments at which it goes back to an older copy.
+"""Stamps: store revisions that stay ordered when the store is restored from an older copy.
 
-A store counts revisions up with each write. When it comes back from an older copy, revisions that
-it had given out are given out again, and its era is one higher. A stamp is a whole number that puts
-the era before the revision, so that a later stamp always compares as greater, and none is given
-twice. Without eras a stamp is the revision itself.
+A store increments its revision with each write. After a restore from an older copy it assigns some
+revisions again, and its era is one higher. A stamp is an integer with the era in the high part and
+the revision in the low part, so that a later stamp always compares as greater, and none is assigned
+twice. In a store without eras the stamp is the revision itself.
 """
 
-# Stamps in one era; above the revisions of any store's life.
+# Number of stamps in one era; above the number of revisions in the lifetime of any store.
 ERA_SPAN = 1 << 40
 
 
 def stamp(era: int, revision: int) -> int:
-    """Return the stamp of a revision that the store gave out in an era."""
+    """Return the stamp of a revision that the store assigned in an era."""
     return era * ERA_SPAN + revision
 
 
@@ -21,5 +21,5 @@
 
 
 def revision_of(stamp_: int) -> int:
-    """Return the revision of a stamp, as the store knows it."""
+    """Return the revision of a stamp, as the store counts it."""
     return stamp_ % ERA_SPAN
--- a/packages/springbridge/springbridge/store_stamp_test.py
+++ b/packages/springbridge/springbridge/store_stamp_test.py
@@ -1,4 +1,4 @@
-"""Tests of stamps."""
+"""Tests of store_stamp.py: stamps order revisions across eras."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, LessThan
--- a/packages/springbridge/springbridge/suspicion_test.py
+++ b/packages/springbridge/springbridge/suspicion_test.py
@@ -1,4 +1,4 @@
-"""Tests of suspicion.py: how the time to suspicion grows with the fleet."""
+"""Tests of suspicion.py: how the suspicion time grows with the size of the fleet."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/trials_test.py
+++ b/packages/springbridge/springbridge/trials_test.py
@@ -1,4 +1,4 @@
-"""Tests of trials: a suspect runs once in the fleet, and those that may be the cause run apart."""
+"""Tests of trials.py: a suspected request runs once in the fleet, its suspect group spread out."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def suspects(records):
-    """Return the names of requests that share two crashes."""
+    """Return a function that makes requests which share two crashes and returns their names."""
 
     def make(count):
         names = [f"s-{number}" for number in range(count)]
@@ -45,7 +45,7 @@
 
 
 def ask(trials, name, endpoint_id="i-1", left_s=LEFT_S, holder="one"):
-    """Return the answer to a question."""
+    """Return the answer to a request for a trial."""
     return trials.request(name, holder, endpoint_id, left_s, ENDPOINTS).answer
 
 
@@ -65,7 +65,7 @@
 
 
 def test_who_holds_a_trial_may_ask_again(trials, suspects):
-    # The answer is a datagram, which may be lost.
+    # The earlier answer is a datagram, which may have been lost.
     (name,) = suspects(1)
     assert_that([ask(trials, name), ask(trials, name)], Equals([Answer.GRANTED] * 2))
 
