--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Coroutine
 
-from springbridge.duties.lease import Takeover, length_s, renewal_s
+from springbridge.duties.lease import Takeover, lease_length_s, renewal_interval_s
 from springbridge.membership import Membership
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import Admitted, Service
@@ -46,10 +46,10 @@
     ) -> None:
         """Join the parts; nothing is started yet."""
         me = membership.me
-        lease_s = length_s(settings.no_return_s)
+        lease_s = lease_length_s(settings.no_return_s)
         candidates = LeaseCandidates(membership)
         self._settings = settings
-        self._renewal_s = renewal_s(lease_s)
+        self._renewal_s = renewal_interval_s(lease_s)
         self.keeper = LeaseKeeper(store, candidates, me.instance, me.incarnation, lease_s)
         self.sharing = UsageSharing(candidates, me.incarnation, settings.window_s)
         self.reporter = UsageReporter(
--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_rows.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_rows.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from springbridge.duties.usage import Counts, ToldUsage, WindowCounts
+from springbridge.duties.usage import Counts, ReportedUsage, WindowCounts
 from springbridge.duties.usage_reports import Report
 
 from springbridge_node.gateway.peers.row_fields import number, text, whole
@@ -38,13 +38,13 @@
     return [incarnation, started_s, counted.window, counted.counts, work]
 
 
-def read_usage(rows: list) -> tuple[ToldUsage | None, ToldWork]:
+def read_usage(rows: list) -> tuple[ReportedUsage | None, ToldWork]:
     """Return the counts, None if there are none, and the work of a node."""
     incarnation, started_s, window, counts, work = rows
     told_work = ToldWork(text(incarnation), read_counts(work))
     if whole(window) == NO_COUNTS.window:
         return None, told_work
-    told = ToldUsage(told_work.incarnation, number(started_s), window, read_counts(counts))
+    told = ReportedUsage(told_work.incarnation, number(started_s), window, read_counts(counts))
     return told, told_work
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper.py
@@ -14,7 +14,7 @@
 from returns.result import Failure, Success
 from springbridge.codes import Code
 from springbridge.duties import lease
-from springbridge.duties.lease import LeaseReading, LeaseRow, Sight, Step, Takeover, Tenure
+from springbridge.duties.lease import LeaseReading, LeaseRow, ObservedLease, Step, Takeover, Tenure
 from springbridge.problems import Problem
 from springbridge.store_stamp import era_of
 
@@ -59,7 +59,7 @@
         self._incarnation = incarnation
         self._lease_s = lease_s
         self._clock = clock
-        self._sight: Sight | None = None
+        self._sight: ObservedLease | None = None
         self._tenure: Tenure | None = None
         self._leaving = False
         self._acting = 0
@@ -154,13 +154,13 @@
         match await self._store.read_lease(DUTY):
             case Success(reading):
                 self.dependency.answered()
-                self._sight = lease.seen(self._sight, reading, self._clock())
+                self._sight = lease.observe(self._sight, reading, self._clock())
                 return reading
             case Failure(problem):
                 self.dependency.failed(problem.detail)
         return None
 
-    async def _take(self, sight: Sight) -> None:
+    async def _take(self, sight: ObservedLease) -> None:
         """Write this node as the holder, with what the holder before it kept."""
         before = sight.reading
         row = self._row(before.row.content if before.row else b"", before.stamp)
@@ -177,7 +177,7 @@
             # which is another one's by now: what this node waited for has not been seen.
             logs.event("lease.not_written", call="take", detail="another era")
             return
-        self._tenure = lease.taken(written.stamp, sent_s, self._lease_s)
+        self._tenure = lease.new_tenure(written.stamp, sent_s, self._lease_s)
         self.changes += 1
         logs.event(
             "lease.taken",
@@ -199,7 +199,7 @@
             await self._after_refused_renewal(tenure, result.failure())
             return
         self.dependency.answered()
-        self._tenure = lease.renewed(tenure, result.unwrap().stamp, sent_s, self._lease_s)
+        self._tenure = lease.renewed_tenure(tenure, result.unwrap().stamp, sent_s, self._lease_s)
         self._alone_until_s = sent_s + self._lease_s
         self._renewed()
 
@@ -211,7 +211,7 @@
         reading = await self._read()
         if reading is None:
             return
-        self._tenure = lease.found_own(tenure, reading, self._incarnation)
+        self._tenure = lease.after_refused_renewal(tenure, reading, self._incarnation)
         if self._tenure is None:
             self._tenure = tenure
             self._lose("another holder" if reading.row else "no row")
--- a/packages/springbridge-node/springbridge_node/gateway/duties/scaler.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/scaler.py
@@ -12,7 +12,7 @@
 from returns.result import Failure, Result
 from springbridge.duties import scaling
 from springbridge.duties.demand import KEPT_S
-from springbridge.duties.scaling import Listed, Load, ScalingLimits, SpotFirst
+from springbridge.duties.scaling import ListedEndpoints, Load, ScalingLimits, SpotFirst
 from springbridge.problems import Problem
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import Service
@@ -128,7 +128,7 @@
         if not domains or not self._is_whole(service, domains):
             return
         load = self._load(service, domains)
-        for name, wanted in scaling.wanted(self._policy, domains, load, limits).items():
+        for name, wanted in scaling.desired_endpoints(self._policy, domains, load, limits).items():
             listed = domains[name]
             on_demand = Subject(service, name, spot=False)
             await self._order(on_demand, wanted.on_demand, listed.on_demand, load)
@@ -136,7 +136,7 @@
                 spot = Subject(service, name, spot=True)
                 await self._order(spot, wanted.spot, listed.spot, load)
 
-    def _listed(self, service: str) -> dict[str, Listed]:
+    def _listed(self, service: str) -> dict[str, ListedEndpoints]:
         """Return the endpoints that stay, by failure domain."""
         entries = [entry for entry in self._registry.entries() if entry.service == service]
         staying = Counter(
@@ -147,9 +147,12 @@
         names = self._domains.setdefault(service, set())
         # One that has lost all of its endpoints still gets orders.
         names.update(entry.failure_domain for entry in entries)
-        return {name: Listed(staying[name, False], staying[name, True]) for name in sorted(names)}
+        return {
+            name: ListedEndpoints(staying[name, False], staying[name, True])
+            for name in sorted(names)
+        }
 
-    def _is_whole(self, service: str, domains: dict[str, Listed]) -> bool:
+    def _is_whole(self, service: str, domains: dict[str, ListedEndpoints]) -> bool:
         """Return whether the list has been seen whole since this node took the lease."""
         if service in self._stood:
             return True
@@ -160,7 +163,7 @@
             return False
         return self._clock() >= known.since_s + WHOLE_AFTER_S
 
-    def _load(self, service: str, domains: dict[str, Listed]) -> Load:
+    def _load(self, service: str, domains: dict[str, ListedEndpoints]) -> Load:
         """Return the load of a service in endpoints."""
         count = sum(each.on_demand + each.spot for each in domains.values())
         self._stood.setdefault(service, count)
@@ -170,7 +173,7 @@
             now=demand.peak_per_s(service, PRESENT_S) / speed,
             peak=demand.peak_per_s(service, KEPT_S) / speed,
             known_for_s=demand.known_for_s(service),
-            stood=self._stood[service],
+            initial_endpoints=self._stood[service],
         )
 
     async def _order(self, subject: Subject, count: int, listed: int, load: Load) -> None:
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter.py
@@ -70,7 +70,7 @@
         content = self._read(before)
         true_time = self._sharing.true_time
         if content.wall_ahead_s is not None:
-            true_time.told(takeover.at_s, before.store_s + content.wall_ahead_s)
+            true_time.follow_holder(takeover.at_s, before.store_s + content.wall_ahead_s)
         self._wall_ahead_s = true_time.at(takeover.at_s) - before.store_s
         # What this node decided and the store never had is dropped: others may have decided since.
         own = [each for each in self._ledger.reports() if each.window in self._kept_windows]
@@ -81,7 +81,7 @@
         earliest = min([current, *self._sharing.usage.windows()])
         self._ledger.begin(earliest)
         self._leave_out(takeover, content)
-        left_out = self._ledger.unknown_from(
+        left_out = self._ledger.skipped_without_report(
             earliest if content.next_window is None else content.next_window
         )
         self.missed += len(left_out)
@@ -105,10 +105,10 @@
         """
         if content.era >= takeover.era or _is_first(takeover):
             return
-        if takeover.follows_itself:
+        if takeover.is_uninterrupted:
             self._ledger.adopt([], self._kept_next)
             return
-        self._ledger.pass_over(self._sharing.true_time.at(takeover.seen_s))
+        self._ledger.skip_until(self._sharing.true_time.at(takeover.first_seen_s))
 
     def _read(self, before: LeaseReading) -> LeaseContent:
         """Return what the holder before kept."""
@@ -136,7 +136,7 @@
                 requests=sum(report.counts.values()),
                 customers=len(report.counts),
             )
-        for report in self._ledger.forget(true_s):
+        for report in self._ledger.drop_too_late(true_s):
             self.missed += 1
             logs.event("usage.missed", window=report.window)
         self._pending = {report.window for report in self._ledger.reports()}
@@ -180,7 +180,7 @@
         match result:
             case Success(_):
                 self.sent += 1
-                self._ledger.was_sent(report.window)
+                self._ledger.mark_sent(report.window)
                 logs.event("usage.sent", window=report.window, token=credentials.token)
             case Failure(problem):
                 logs.event("usage.not_sent", window=report.window, detail=problem.detail)
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter_test.py
@@ -4,8 +4,8 @@
 
 import pytest
 from springbridge.duties.lease import LeaseReading, LeaseRow, Takeover
-from springbridge.duties.usage import ToldUsage
-from springbridge.duties.usage_reports import AHEAD_S, SETTLE_S, Report
+from springbridge.duties.usage import ReportedUsage
+from springbridge.duties.usage_reports import CLOCK_LEAD_S, SETTLE_S, Report
 from springbridge.store_stamp import stamp
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, Not
@@ -26,7 +26,7 @@
     candidates = SimpleNamespace(others=list)
     sharing = UsageSharing(candidates, "run-1", WINDOW_S, lambda: 20.0, lambda: START_S + 20.0)
     for window in range(100, 104):
-        sharing.usage.take(ToldUsage("run-2", START_S, window, {"councils": window}))
+        sharing.usage.merge(ReportedUsage("run-2", START_S, window, {"councils": window}))
     return UsageReporter(None, sharing, None, candidates, WINDOW_S)
 
 
@@ -66,7 +66,7 @@
 def test_the_clock_of_an_earlier_holder_may_have_been_ahead(reporter):
     settled_s = 10.0 + SETTLE_S
     reporter.taken(
-        takeover(kept(100, era=0), row_era=0, store_era=1, seen_s=settled_s - 0.9 * AHEAD_S)
+        takeover(kept(100, era=0), row_era=0, store_era=1, seen_s=settled_s - 0.9 * CLOCK_LEAD_S)
     )
     assert_that(next_window(reporter), Equals(102))
 
@@ -94,7 +94,7 @@
     reporter.taken(takeover(kept(101, era=0), row_era=0, store_era=0))
     reporter.content(0)
     reporter.renewed()
-    reporter.taken(takeover(b"", row_era=1, store_era=1, seen_s=16.0, alone_until_s=17.0))
+    reporter.taken(takeover(b"", row_era=1, store_era=1, seen_s=16.0, exclusive_until_s=17.0))
     assert_that(next_window(reporter), Equals(103))
     assert_that(reporter.missed, Equals(0))
 
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_sharing.py
@@ -13,7 +13,7 @@
     KEPT_S,
     FleetUsage,
     OwnUsage,
-    ToldUsage,
+    ReportedUsage,
     WindowCounts,
     window_at,
     window_end_s,
@@ -93,7 +93,7 @@
 
     async def step(self) -> None:
         """Tell the candidates what they may not know yet."""
-        self.true_time.look(self._clock(), self._wall())
+        self.true_time.update(self._clock(), self._wall())
         self._forget()
         receivers = {member.incarnation: member for member in self._candidates.others()}
         new = receivers.keys() - self._told_to
@@ -103,10 +103,10 @@
         self._tell(news, [receivers[name].peer_address for name in receivers.keys() - new])
         self._tell(everything, [receivers[name].peer_address for name in new])
         for each in everything:
-            told = ToldUsage(self._incarnation, self._started_s, each.window, each.counts)
-            self.usage.take(told)
+            told = ReportedUsage(self._incarnation, self._started_s, each.window, each.counts)
+            self.usage.merge(told)
         for service, total in self._work.items():
-            self.demand.take(self._incarnation, service, total)
+            self.demand.record_total(self._incarnation, service, total)
 
     def tell_news(self, reports: list[Report], addresses: list[str]) -> None:
         """Tell nodes the true time, and what was decided."""
@@ -149,14 +149,14 @@
         """Take in what a node counted."""
         told, work = duty_rows.read_usage(rows)
         if told is not None:
-            self.usage.take(told)
+            self.usage.merge(told)
         for service, total in work.tokens.items():
-            self.demand.take(work.incarnation, service, total)
+            self.demand.record_total(work.incarnation, service, total)
 
     def _take_news(self, rows: list, sender: str) -> None:
         """Take in what the holder tells."""
         news = duty_rows.read_news(rows)
-        self.true_time.told(self._clock(), news.true_s)
+        self.true_time.follow_holder(self._clock(), news.true_s)
         for report in news.reports:
             self.heard.setdefault(report.window, report)
 
@@ -167,7 +167,7 @@
         first = window_at(true_s - KEPT_S, self._own.window_s)
         self.usage.forget(first)
         self.heard = {window: each for window, each in self.heard.items() if window >= first}
-        self.demand.forget()
+        self.demand.drop_old_samples()
         recent_s = self._clock() - RESEND_S
         self._changed_s = {key: at_s for key, at_s in self._changed_s.items() if at_s > recent_s}
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/rate_permits.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/rate_permits.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from springbridge.membership import Membership
-from springbridge.rates.granters import granted_part
+from springbridge.rates.granters import granted_share
 from springbridge.rates.grants import Grant, RateGrants
 from springbridge.rates.rate_table import RateTable
 from springbridge.routing.endpoint_registry import EndpointRegistry
@@ -91,7 +91,7 @@
         """Give back a permit whose request surely did not reach the endpoint."""
         granter = self._granters.of(entry)
         if self._granters.is_me(granter) or self._datagrams is None:
-            self._grants.give_back(entry.incarnation)
+            self._grants.return_permit(entry.incarnation)
             return
         row = statement_rows.incarnation_row(entry.incarnation)
         self._datagrams.send(Kind.PERMIT_BACK, row, [granter.peer_address])
@@ -114,8 +114,8 @@
         per_s = self._table.per_s(incarnation)
         if per_s is None:
             return Grant(True)
-        part = granted_part(self._tenure_s(incarnation), self._reached_share())
-        return self._grants.ask(incarnation, per_s * part, priority)
+        part = granted_share(self._tenure_s(incarnation), self._reached_share())
+        return self._grants.request(incarnation, per_s * part, priority)
 
     def _tenure_s(self, incarnation: EndpointIncarnation) -> float:
         """Return for how many seconds this node has been the granter of an endpoint."""
@@ -160,4 +160,4 @@
 
     def _take_back(self, row: list, sender: str) -> None:
         """Take back a permit."""
-        self._grants.give_back(statement_rows.read_incarnation(row))
+        self._grants.return_permit(statement_rows.read_incarnation(row))
--- a/packages/springbridge-standins/springbridge_standins/mutants/duty_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/duty_mutants.py
@@ -78,8 +78,8 @@
     Mutant(
         "usage: a holder follows itself only if nobody can have been between",
         f"{LIBRARY}/duties/lease.py",
-        "return self.seen_s <= self.alone_until_s",
-        "return self.alone_until_s > -math.inf",
+        "return self.first_seen_s <= self.exclusive_until_s",
+        "return self.exclusive_until_s > -math.inf",
         LEASE,
     ),
     Mutant(
--- a/packages/springbridge-standins/springbridge_standins/mutants/rate_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/rate_mutants.py
@@ -62,8 +62,8 @@
     Mutant(
         "permits: few are kept while nobody asks",
         f"{LIBRARY}/rates/grants.py",
-        "permits.left = min(permits.left + came_up, _most_kept(per_s))",
-        "permits.left = permits.left + came_up",
+        "permits.left = min(permits.left + refill, _bucket_size(per_s))",
+        "permits.left = permits.left + refill",
         GRANTS,
     ),
     Mutant(
@@ -76,14 +76,14 @@
     Mutant(
         "permits: the last one is kept for a more urgent request",
         f"{LIBRARY}/rates/grants.py",
-        "needed = 2.0 if is_kept else 1.0",
+        "needed = 2.0 if is_reserved else 1.0",
         "needed = 1.0",
         GRANTS,
     ),
     Mutant(
         "permits: a new granter grants little",
         f"{LIBRARY}/rates/granters.py",
-        "return reached_share if tenure_s >= HANDOVER_S else HANDOVER_PART * reached_share",
+        "return reached_share if tenure_s >= HANDOVER_S else HANDOVER_SHARE * reached_share",
         "return reached_share",
         PARTS,
     ),
--- a/packages/springbridge/springbridge/duties/demand.py
+++ b/packages/springbridge/springbridge/duties/demand.py
@@ -13,7 +13,7 @@
 # an answer, while it also generates answers to other requests.
 ANSWER_TOKEN_WEIGHT = 10
 # Work of a request without token counts, in prompt tokens.
-PLAIN_REQUEST_TOKENS = 1000
+DEFAULT_REQUEST_TOKENS = 1000
 # Length of a sample in seconds; shorter than a burst, longer than the time between two messages.
 SAMPLE_S = 2.0
 # Seconds for which samples are kept.
@@ -22,7 +22,7 @@
 
 def request_work(prompt_tokens: int, answer_tokens: int) -> int:
     """Return the work of a request, in prompt tokens."""
-    return prompt_tokens + ANSWER_TOKEN_WEIGHT * answer_tokens or PLAIN_REQUEST_TOKENS
+    return prompt_tokens + ANSWER_TOKEN_WEIGHT * answer_tokens or DEFAULT_REQUEST_TOKENS
 
 
 class FleetDemand:
@@ -31,11 +31,11 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         """Start without samples; the clock returns monotonic seconds."""
         self._clock = clock
-        self._told: dict[tuple[str, str], int] = {}
+        self._totals: dict[tuple[str, str], int] = {}
         self._samples: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
         self._since_s: dict[str, float] = {}
 
-    def take(self, incarnation: str, service: str, total: int) -> None:
+    def record_total(self, incarnation: str, service: str, total: int) -> None:
         """Record the total work that a run of an instance has sent to a service since its start.
 
         A total that is not above the last one came late or twice and is ignored.
@@ -45,10 +45,10 @@
           service: Name of the service.
           total: Prompt tokens.
         """
-        before = self._told.get((incarnation, service), 0)
+        before = self._totals.get((incarnation, service), 0)
         if total <= before:
             return
-        self._told[(incarnation, service)] = total
+        self._totals[(incarnation, service)] = total
         now_s = self._clock()
         self._since_s.setdefault(service, now_s)
         self._samples[service][math.floor(now_s / SAMPLE_S)] += total - before
@@ -63,7 +63,7 @@
         first = math.floor((self._clock() - within_s) / SAMPLE_S)
         return max((work for at, work in samples.items() if at >= first), default=0) / SAMPLE_S
 
-    def forget(self) -> None:
+    def drop_old_samples(self) -> None:
         """Drop samples older than KEPT_S."""
         first = math.floor((self._clock() - KEPT_S) / SAMPLE_S)
         for samples in self._samples.values():
@@ -72,4 +72,4 @@
 
     def forget_runs(self, live: set[str]) -> None:
         """Drop the totals of runs that are no longer alive."""
-        self._told = {key: total for key, total in self._told.items() if key[0] in live}
+        self._totals = {key: total for key, total in self._totals.items() if key[0] in live}
--- a/packages/springbridge/springbridge/duties/demand_test.py
+++ b/packages/springbridge/springbridge/duties/demand_test.py
@@ -26,22 +26,22 @@
 def test_a_lost_message_is_made_good_by_the_next(clock):
     demand = FleetDemand(clock)
     for total in (1000, 3000):
-        demand.take("run", "model", total)
+        demand.record_total("run", "model", total)
     assert_that(demand.peak_per_s("model", 10.0), Equals(1500.0))
 
 
 def test_an_older_message_that_comes_late_counts_for_nothing(clock):
     demand = FleetDemand(clock)
     for total in (3000, 1000, 3000):
-        demand.take("run", "model", total)
+        demand.record_total("run", "model", total)
     assert_that(demand.peak_per_s("model", 10.0), Equals(1500.0))
 
 
 def test_the_peak_of_a_burst_stays_for_as_long_as_is_asked(clock):
     demand = FleetDemand(clock)
-    demand.take("run", "model", 8000)
+    demand.record_total("run", "model", 8000)
     clock.now_s += 10.0
-    demand.take("run", "model", 10_000)
+    demand.record_total("run", "model", 10_000)
     assert_that(demand.peak_per_s("model", 4.0), Equals(1000.0))
     assert_that(demand.peak_per_s("model", 30.0), Equals(4000.0))
     assert_that(demand.known_for_s("model"), Equals(10.0))
--- a/packages/springbridge/springbridge/duties/lease.py
+++ b/packages/springbridge/springbridge/duties/lease.py
@@ -23,18 +23,18 @@
 from springbridge.store_stamp import era_of
 
 # Shortest duration of a lease, in seconds.
-LEAST_LENGTH_S = 3.0
+MIN_LEASE_S = 3.0
 # Seconds by which a tenure ends before its lease does. It covers the network delay of a call that
 # was sent at the last moment, and clocks that run at slightly different rates.
-MARGIN_S = 0.2
+SAFETY_MARGIN_S = 0.2
 # Number of renewals within the duration of a lease, so that one may be lost.
-RENEWALS = 3
+RENEWALS_PER_LEASE = 3
 # Share of the lease duration after which a lease that was handed on may be taken. Two such changes
 # of holder take one full duration, so that an instance which gets the lease back does not act again
 # too early.
 HANDED_ON_SHARE = 0.5
 # Delay in seconds per rank, so that the higher-ranked candidate takes the lease first.
-TURN_S = 0.5
+RANK_DELAY_S = 0.5
 # Number of instances that watch the row of a lease: the highest-ranked ones.
 CANDIDATES = 3
 
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class ObservedLease:
     """The latest reading, and when this instance first saw the row with that stamp."""
 
     reading: LeaseReading
@@ -113,9 +113,9 @@
     """
 
     before: LeaseReading
-    seen_s: float
+    first_seen_s: float
     at_s: float
-    alone_until_s: float = -math.inf
+    exclusive_until_s: float = -math.inf
 
     @property
     def era(self) -> int:
@@ -123,9 +123,9 @@
         return era_of(self.before.stamp)
 
     @property
-    def follows_itself(self) -> bool:
+    def is_uninterrupted(self) -> bool:
         """Return whether this run held the lease before and nobody else can have held it since."""
-        return self.seen_s <= self.alone_until_s
+        return self.first_seen_s <= self.exclusive_until_s
 
 
 class Step(Enum):
@@ -138,25 +138,25 @@
     HAND_ON = auto()
 
 
-def length_s(no_return_s: float) -> float:
+def lease_length_s(no_return_s: float) -> float:
     """Return the duration of a lease in seconds.
 
     Args:
       no_return_s: Seconds within which a former holder must not get the lease back.
     """
-    return max(LEAST_LENGTH_S, no_return_s)
+    return max(MIN_LEASE_S, no_return_s)
 
 
-def renewal_s(lease_s: float) -> float:
+def renewal_interval_s(lease_s: float) -> float:
     """Return the seconds between two renewals, and between two checks by a candidate."""
-    return lease_s / RENEWALS
+    return lease_s / RENEWALS_PER_LEASE
 
 
-def seen(before: Sight | None, reading: LeaseReading, now_s: float) -> Sight:
+def observe(before: ObservedLease | None, reading: LeaseReading, now_s: float) -> ObservedLease:
     """Return the observation after a reading; with an unchanged stamp it keeps since_s."""
     if before is not None and before.reading.stamp == reading.stamp:
-        return Sight(reading, before.since_s)
-    return Sight(reading, now_s)
+        return ObservedLease(reading, before.since_s)
+    return ObservedLease(reading, now_s)
 
 
 def holder_step(tenure: Tenure, now_s: float, *, is_candidate: bool) -> Step:
@@ -166,7 +166,7 @@
     return Step.RENEW if is_candidate else Step.HAND_ON
 
 
-def candidate_step(sight: Sight | None, now_s: float, lease_s: float, rank: int) -> Step:
+def candidate_step(sight: ObservedLease | None, now_s: float, lease_s: float, rank: int) -> Step:
     """Return the next action of an instance that does not hold the lease.
 
     Args:
@@ -179,10 +179,12 @@
         return Step.WAIT
     if sight is None:
         return Step.READ
-    return Step.TAKE if now_s >= free_from_s(sight, lease_s) + rank * TURN_S else Step.READ
+    return (
+        Step.TAKE if now_s >= available_from_s(sight, lease_s) + rank * RANK_DELAY_S else Step.READ
+    )
 
 
-def free_from_s(sight: Sight, lease_s: float) -> float:
+def available_from_s(sight: ObservedLease, lease_s: float) -> float:
     """Return the time from which a lease may be taken if its row does not change."""
     if _was_never_held(sight.reading):
         return sight.since_s
@@ -208,7 +210,7 @@
     return row is not None and row.handed_on and row.era == era_of(reading.stamp)
 
 
-def taken(stamp: int, sent_s: float, lease_s: float) -> Tenure:
+def new_tenure(stamp: int, sent_s: float, lease_s: float) -> Tenure:
     """Return the tenure of an instance whose write took the lease.
 
     Args:
@@ -216,15 +218,15 @@
       sent_s: When the write was sent.
       lease_s: Duration of the lease.
     """
-    return Tenure(token=stamp, stamp=stamp, until_s=sent_s + lease_s - MARGIN_S)
+    return Tenure(token=stamp, stamp=stamp, until_s=sent_s + lease_s - SAFETY_MARGIN_S)
 
 
-def renewed(tenure: Tenure, stamp: int, sent_s: float, lease_s: float) -> Tenure:
+def renewed_tenure(tenure: Tenure, stamp: int, sent_s: float, lease_s: float) -> Tenure:
     """Return the tenure after a renewal that the store acknowledged."""
-    return replace(tenure, stamp=stamp, until_s=sent_s + lease_s - MARGIN_S)
+    return replace(tenure, stamp=stamp, until_s=sent_s + lease_s - SAFETY_MARGIN_S)
 
 
-def found_own(tenure: Tenure, reading: LeaseReading, incarnation: str) -> Tenure | None:
+def after_refused_renewal(tenure: Tenure, reading: LeaseReading, incarnation: str) -> Tenure | None:
     """Return the tenure after the store refused a renewal, or None if the lease is lost.
 
     If an earlier renewal took effect although its answer was lost, the row is still this run's own.
--- a/packages/springbridge/springbridge/duties/scaling.py
+++ b/packages/springbridge/springbridge/duties/scaling.py
@@ -16,9 +16,9 @@
 from functools import singledispatch
 
 # Seconds for which the load has to be observed before the target may follow it downwards.
-LEARN_S = 60.0
+MIN_OBSERVATION_S = 60.0
 # Target as a multiple of the initial endpoints while the load is unknown, and its bound afterwards.
-MOST_GROWTH = 2.0
+MAX_GROWTH = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedEndpoints:
     """Numbers of endpoints of a service in one failure domain, without those about to leave."""
 
     on_demand: int = 0
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class DesiredEndpoints:
     """Numbers of endpoints that a service should have in one failure domain."""
 
     on_demand: int
@@ -76,7 +76,7 @@
     now: float
     peak: float
     known_for_s: float
-    stood: int
+    initial_endpoints: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,13 +105,13 @@
     utilisation: float = 0.4
 
 
-Domains = Mapping[str, Listed]
+Domains = Mapping[str, ListedEndpoints]
 
 
 @singledispatch
-def wanted(
+def desired_endpoints(
     policy: object, domains: Domains, load: Load, limits: ScalingLimits
-) -> dict[str, Wanted]:
+) -> dict[str, DesiredEndpoints]:
     """Return the numbers of endpoints that a service should have, by failure domain.
 
     Args:
@@ -126,25 +126,25 @@
     raise TypeError(f"unknown scaling policy: {policy!r}")
 
 
-@wanted.register
+@desired_endpoints.register
 def _(policy: TargetTracking, domains: Domains, load: Load, limits: ScalingLimits):
-    if load.known_for_s < LEARN_S:
-        return {name: Wanted(listed.on_demand, 0) for name, listed in domains.items()}
+    if load.known_for_s < MIN_OBSERVATION_S:
+        return {name: DesiredEndpoints(listed.on_demand, 0) for name, listed in domains.items()}
     each = _within(limits, math.ceil(load.peak / policy.utilisation / max(1, len(domains))))
-    return {name: Wanted(each, 0) for name in domains}
+    return {name: DesiredEndpoints(each, 0) for name in domains}
 
 
-@wanted.register
+@desired_endpoints.register
 def _(policy: SpotFirst, domains: Domains, load: Load, limits: ScalingLimits):
     if limits.spot_price is None:
-        return wanted(TargetTracking(), domains, load, limits)
+        return desired_endpoints(TargetTracking(), domains, load, limits)
     target = _target(policy, domains, load, limits)
     reserve = {name: min(policy.reserve, target) for name in domains}
     standing = sum(listed.spot for listed in domains.values()) + sum(reserve.values())
     missing = max(0, _cover(policy, domains, load, limits) - standing)
     on_demand = _fill(domains, reserve, missing, limits)
     return {
-        name: Wanted(
+        name: DesiredEndpoints(
             on_demand[name],
             max(0, target - max(on_demand[name], each.on_demand)),
         )
@@ -154,8 +154,8 @@
 
 def _target(policy: SpotFirst, domains: Domains, load: Load, limits: ScalingLimits) -> int:
     """Return how many endpoints, both kinds together, each failure domain should have."""
-    count = MOST_GROWTH * load.stood
-    if load.known_for_s >= LEARN_S:
+    count = MAX_GROWTH * load.initial_endpoints
+    if load.known_for_s >= MIN_OBSERVATION_S:
         count = min(count, policy.headroom * load.peak)
     return _within(limits, math.ceil(count / max(1, len(domains))))
 
@@ -163,7 +163,7 @@
 def _cover(policy: SpotFirst, domains: Domains, load: Load, limits: ScalingLimits) -> int:
     """Return how many endpoints the service must have even when spot endpoints leave."""
     if load.known_for_s <= 0:
-        return load.stood
+        return load.initial_endpoints
     return min(math.ceil(policy.cover * load.now), limits.most * len(domains))
 
 
--- a/packages/springbridge/springbridge/duties/true_time.py
+++ b/packages/springbridge/springbridge/duties/true_time.py
@@ -13,7 +13,7 @@
 # less between two readings.
 JUMP_S = 0.1
 # Seconds by which the time in use may differ from the holder's time before it is replaced.
-TOLD_TOLERANCE_S = 0.05
+HOLDER_TOLERANCE_S = 0.05
 
 
 class TrueTime:
@@ -23,20 +23,20 @@
         """Set the offset from a reading of the monotonic clock and of the time of day."""
         self._offset_s = wall_s - steady_s
 
-    def look(self, steady_s: float, wall_s: float) -> None:
+    def update(self, steady_s: float, wall_s: float) -> None:
         """Update the offset from a reading of both clocks, unless the time of day has jumped."""
         offset_s = wall_s - steady_s
         if abs(offset_s - self._offset_s) < JUMP_S:
             self._offset_s = offset_s
 
-    def told(self, steady_s: float, true_s: float) -> None:
+    def follow_holder(self, steady_s: float, true_s: float) -> None:
         """Adopt the lease holder's time if it differs by more than the tolerance.
 
         Args:
           steady_s: Time on this instance's monotonic clock.
           true_s: The holder's time of day at that moment.
         """
-        if abs(self.at(steady_s) - true_s) > TOLD_TOLERANCE_S:
+        if abs(self.at(steady_s) - true_s) > HOLDER_TOLERANCE_S:
             self._offset_s = true_s - steady_s
 
     def at(self, steady_s: float) -> float:
--- a/packages/springbridge/springbridge/duties/usage.py
+++ b/packages/springbridge/springbridge/duties/usage.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldUsage:
+class ReportedUsage:
     """The requests that one run of an instance reports for one window.
 
     Attributes:
@@ -90,17 +90,17 @@
 
     def __init__(self) -> None:
         """Start without counts."""
-        self._told: dict[int, dict[str, ToldUsage]] = defaultdict(dict)
+        self._reports: dict[int, dict[str, ReportedUsage]] = defaultdict(dict)
         self._stored: dict[int, Counts] = {}
         self._stored_s = -math.inf
 
-    def take(self, told: ToldUsage) -> None:
+    def merge(self, report: ReportedUsage) -> None:
         """Merge a report; the larger count wins for each customer."""
-        runs = self._told[told.window]
-        before = runs.get(told.incarnation)
-        counts = larger_counts(before.counts, told.counts) if before else told.counts
-        runs[told.incarnation] = ToldUsage(
-            told.incarnation, told.started_s, told.window, dict(counts)
+        runs = self._reports[report.window]
+        before = runs.get(report.incarnation)
+        counts = larger_counts(before.counts, report.counts) if before else report.counts
+        runs[report.incarnation] = ReportedUsage(
+            report.incarnation, report.started_s, report.window, dict(counts)
         )
 
     def restore(self, totals: Mapping[int, Counts], stored_s: float) -> None:
@@ -115,19 +115,19 @@
 
     def totals(self, window: int) -> Counts:
         """Return the requests of a window by customer."""
-        runs = self._told.get(window, {}).values()
+        runs = self._reports.get(window, {}).values()
         earlier = _sum(run.counts for run in runs if run.started_s <= self._stored_s)
         later = _sum(run.counts for run in runs if run.started_s > self._stored_s)
         return _sum([larger_counts(self._stored.get(window, {}), earlier), later])
 
     def windows(self) -> list[int]:
         """Return the numbers of the windows that have counts, in ascending order."""
-        return sorted({*self._told, *self._stored})
+        return sorted({*self._reports, *self._stored})
 
     def forget(self, before: int) -> None:
         """Drop the windows before a given one."""
-        for window in [window for window in self._told if window < before]:
-            del self._told[window]
+        for window in [window for window in self._reports if window < before]:
+            del self._reports[window]
         for window in [window for window in self._stored if window < before]:
             del self._stored[window]
 
--- a/packages/springbridge/springbridge/duties/usage_reports.py
+++ b/packages/springbridge/springbridge/duties/usage_reports.py
@@ -19,9 +19,9 @@
 # Seconds after the end of a window within which the counts of all instances arrive.
 SETTLE_S = 2.5
 # Seconds after the end of a window during which its report may still be sent.
-LATEST_S = 40.0
+SEND_WITHIN_S = 40.0
 # Seconds by which the clock of an earlier holder may have been ahead of this holder's.
-AHEAD_S = 0.5
+CLOCK_LEAD_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,16 +80,18 @@
         if self._next is None:
             self._next = first_window
 
-    def pass_over(self, until_s: float) -> None:
+    def skip_until(self, until_s: float) -> None:
         """Skip the windows that may have been decided before a moment of true time."""
         if self._next is not None:
-            self._next = max(self._next, window_at(until_s + AHEAD_S - SETTLE_S, self._window_s))
+            self._next = max(
+                self._next, window_at(until_s + CLOCK_LEAD_S - SETTLE_S, self._window_s)
+            )
 
-    def unknown_from(self, window: int) -> list[int]:
+    def skipped_without_report(self, window: int) -> list[int]:
         """Return the skipped windows, from a given one on, that have no report known here."""
         if self._next is None:
             return []
-        kept = math.ceil(LATEST_S / self._window_s)
+        kept = math.ceil(SEND_WITHIN_S / self._window_s)
         first = max(window, self._next - kept)
         return [each for each in range(first, self._next) if each not in self._reports]
 
@@ -98,7 +100,7 @@
         if self._next is None:
             return []
         # The first undecided window may come from another holder's row, far in the past.
-        self._next = max(self._next, window_at(true_s - LATEST_S, self._window_s) - 1)
+        self._next = max(self._next, window_at(true_s - SEND_WITHIN_S, self._window_s) - 1)
         decided = []
         while self._is_settled(self._next, true_s):
             if not self._is_too_late(self._next, true_s):
@@ -116,12 +118,12 @@
             if not report.sent and not self._is_too_late(report.window, true_s)
         ]
 
-    def was_sent(self, window: int) -> None:
+    def mark_sent(self, window: int) -> None:
         """Mark a report as acknowledged by the platform; ignored if it was dropped meanwhile."""
         if window in self._reports:
             self._reports[window] = replace(self._reports[window], sent=True)
 
-    def forget(self, true_s: float) -> list[Report]:
+    def drop_too_late(self, true_s: float) -> list[Report]:
         """Drop the reports that are too late to be sent; return those that were never sent."""
         old = [window for window in self._reports if self._is_too_late(window, true_s)]
         dropped = [self._reports.pop(window) for window in old]
@@ -131,4 +133,4 @@
         return true_s >= window_end_s(window, self._window_s) + SETTLE_S
 
     def _is_too_late(self, window: int, true_s: float) -> bool:
-        return true_s > window_end_s(window, self._window_s) + LATEST_S
+        return true_s > window_end_s(window, self._window_s) + SEND_WITHIN_S
--- a/packages/springbridge/springbridge/duties/usage_reports_test.py
+++ b/packages/springbridge/springbridge/duties/usage_reports_test.py
@@ -3,8 +3,8 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from springbridge.duties.usage import FleetUsage, ToldUsage
-from springbridge.duties.usage_reports import LATEST_S, SETTLE_S, Report, ReportLedger
+from springbridge.duties.usage import FleetUsage, ReportedUsage
+from springbridge.duties.usage_reports import SEND_WITHIN_S, SETTLE_S, Report, ReportLedger
 
 WINDOW_S = 5.0
 
@@ -13,7 +13,7 @@
     """Return a fleet's usage; w10=3 means three requests in window 10."""
     usage = FleetUsage()
     for name, count in windows.items():
-        usage.take(ToldUsage("run", 0.0, int(name[1:]), {"councils": count}))
+        usage.merge(ReportedUsage("run", 0.0, int(name[1:]), {"councils": count}))
     return usage
 
 
@@ -38,13 +38,13 @@
     ledger.begin(10)
     ledger.decide(usage_of(w10=3), 60.0)
     assert_that(ledger.unsent(60.0), Equals([Report(10, {"councils": 3})]))
-    ledger.was_sent(10)
+    ledger.mark_sent(10)
     assert_that(ledger.unsent(60.0), Equals([]))
 
 
 def test_a_report_that_was_dropped_while_it_was_sent_stays_dropped():
     ledger = ReportLedger(WINDOW_S)
-    ledger.was_sent(10)
+    ledger.mark_sent(10)
     assert_that(ledger.reports(), Equals([]))
 
 
@@ -86,8 +86,8 @@
     ledger = ReportLedger(WINDOW_S)
     ledger.begin(10)
     ledger.decide(usage_of(w10=3), 60.0)
-    late_s = 11 * WINDOW_S + LATEST_S + 0.1
-    assert_that(ledger.forget(late_s), Equals([Report(10, {"councils": 3})]))
+    late_s = 11 * WINDOW_S + SEND_WITHIN_S + 0.1
+    assert_that(ledger.drop_too_late(late_s), Equals([Report(10, {"councils": 3})]))
     assert_that(ledger.reports(), Equals([]))
 
 
@@ -96,5 +96,5 @@
     ledger.adopt([], next_window=0)
     true_s = 1.7e9
     decided = ledger.decide(usage_of(), true_s)
-    assert_that(len(decided), Equals(int((LATEST_S - SETTLE_S) / WINDOW_S) + 1))
-    assert_that(ledger.unknown_from(0)[:1], Equals([]))
+    assert_that(len(decided), Equals(int((SEND_WITHIN_S - SETTLE_S) / WINDOW_S) + 1))
+    assert_that(ledger.skipped_without_report(0)[:1], Equals([]))
--- a/packages/springbridge/springbridge/duties/usage_test.py
+++ b/packages/springbridge/springbridge/duties/usage_test.py
@@ -10,7 +10,7 @@
     KEPT_S,
     FleetUsage,
     OwnUsage,
-    ToldUsage,
+    ReportedUsage,
     WindowCounts,
     window_at,
 )
@@ -20,7 +20,7 @@
 
 def told(incarnation, counts, started_s=0.0, window=10):
     """Return an instance's report for a window."""
-    return ToldUsage(incarnation, started_s, window, counts)
+    return ReportedUsage(incarnation, started_s, window, counts)
 
 
 def test_a_request_counts_in_the_window_of_its_moment():
@@ -52,20 +52,20 @@
         rng.shuffle(kept)
         fleet = FleetUsage()
         for message in itertools.chain(kept, kept[:5]):
-            fleet.take(message)
+            fleet.merge(message)
         assert_that(fleet.totals(10), Equals({"councils": 21}))
 
 
 def test_what_a_lost_fleet_had_counted_is_added_to_what_the_new_one_counts():
     fleet = FleetUsage()
     fleet.restore({10: {"councils": 40, "transit": 3}}, stored_s=52.0)
-    fleet.take(told("new", {"councils": 5}, started_s=53.0))
+    fleet.merge(told("new", {"councils": 5}, started_s=53.0))
     assert_that(fleet.totals(10), Equals({"councils": 45, "transit": 3}))
 
 
 def test_a_successor_counts_runs_of_before_once():
     fleet = FleetUsage()
     fleet.restore({10: {"councils": 40}}, stored_s=52.0)
-    fleet.take(told("old-1", {"councils": 30}))
-    fleet.take(told("old-2", {"councils": 15}))
+    fleet.merge(told("old-1", {"councils": 30}))
+    fleet.merge(told("old-2", {"councils": 15}))
     assert_that(fleet.totals(10), Equals({"councils": 45}))
--- a/packages/springbridge/springbridge/rates/granters.py
+++ b/packages/springbridge/springbridge/rates/granters.py
@@ -26,13 +26,13 @@
 ROLE_KEY = "granter of permits"
 # Number of fallback granters, asked one after another if the granter does not answer. With one, an
 # endpoint loses little of its rate until the end of its granter is detected.
-SUBSTITUTES = 1
+FALLBACK_GRANTERS = 1
 # Seconds during which instances may still ask the previous granter. In a fleet of hundreds they
 # detect the end of an instance within about three seconds of each other.
 HANDOVER_S = 3.0
 # Share of the rate that is granted meanwhile. Three such granters beside the previous one stay
 # within one and a half times the rate.
-HANDOVER_PART = 0.15
+HANDOVER_SHARE = 0.15
 
 
 def granters(members: Iterable[Member], endpoint_id: str, failure_domain: str) -> list[Member]:
@@ -48,14 +48,14 @@
     def rank(member: Member) -> tuple[bool, float]:
         return member.failure_domain == failure_domain, score(key, member.incarnation)
 
-    return heapq.nlargest(1 + SUBSTITUTES, members, key=rank)
+    return heapq.nlargest(1 + FALLBACK_GRANTERS, members, key=rank)
 
 
-def granted_part(tenure_s: float, reached_share: float) -> float:
+def granted_share(tenure_s: float, reached_share: float) -> float:
     """Return the share of an endpoint's rate that an instance may grant, 0 to 1.
 
     Args:
       tenure_s: For how many seconds it has been the granter by its own view, 0 if it is not.
       reached_share: Share of the possibly running instances that it reaches, itself included.
     """
-    return reached_share if tenure_s >= HANDOVER_S else HANDOVER_PART * reached_share
+    return reached_share if tenure_s >= HANDOVER_S else HANDOVER_SHARE * reached_share
--- a/packages/springbridge/springbridge/rates/granters_test.py
+++ b/packages/springbridge/springbridge/rates/granters_test.py
@@ -4,7 +4,7 @@
 from testtools.matchers import Equals, GreaterThan, LessThan
 
 from springbridge.member import Member
-from springbridge.rates.granters import HANDOVER_S, granted_part, granters
+from springbridge.rates.granters import HANDOVER_S, granted_share, granters
 
 
 def members(count):
@@ -37,14 +37,14 @@
 
 
 def test_the_sides_of_a_cut_grant_no_more_than_the_rate_together():
-    assert_that(granted_part(60.0, 5 / 8) + granted_part(60.0, 3 / 8), Equals(1.0))
+    assert_that(granted_share(60.0, 5 / 8) + granted_share(60.0, 3 / 8), Equals(1.0))
 
 
 def test_one_that_has_just_become_the_granter_or_is_none_grants_little():
-    assert_that(granted_part(0.0, 1.0), Equals(granted_part(HANDOVER_S - 0.01, 1.0)))
-    assert_that(granted_part(0.0, 1.0), GreaterThan(0.0))
+    assert_that(granted_share(0.0, 1.0), Equals(granted_share(HANDOVER_S - 0.01, 1.0)))
+    assert_that(granted_share(0.0, 1.0), GreaterThan(0.0))
     # Three such granters beside the previous one: within one and a half times the rate.
-    assert_that(1.0 + 3 * granted_part(0.0, 1.0), LessThan(1.5))
+    assert_that(1.0 + 3 * granted_share(0.0, 1.0), LessThan(1.5))
 
 
 def test_the_substitute_is_the_granter_once_that_is_gone():
--- a/packages/springbridge/springbridge/rates/grants.py
+++ b/packages/springbridge/springbridge/rates/grants.py
@@ -18,22 +18,22 @@
 
 # Smallest bucket size: one permit for the next request, and one that can be reserved for urgent
 # requests.
-KEPT_PERMITS = 2.0
+MIN_BUCKET_SIZE = 2.0
 # Bucket size as seconds of the rate, where that is more. At high rates it covers the time between
 # the refill of a permit and the next call for one.
-KEPT_S = 0.06
+BUCKET_S = 0.06
 # Retry times assigned per permit. The excess over 1 makes up for instances that have no request
 # left at their retry time.
-TURNS_PER_PERMIT = 1.5
+RETRIES_PER_PERMIT = 1.5
 # Further retry times per second. Without them a permit would stay unused for long at low rates.
-TURNS_PER_S = 4.0
+EXTRA_RETRIES_PER_S = 4.0
 # Longest wait in seconds before an instance may retry. It bounds how long a permit stays unused
 # when the refused instances have no more requests, or when the rate rises.
-LONGEST_WAIT_S = 4.0
+MAX_WAIT_S = 4.0
 # Shortest such wait in seconds, so that a request does not call the same granter again.
-LEAST_WAIT_S = 0.02
+MIN_WAIT_S = 0.02
 # Seconds after its retry time for which the last permit stays reserved for an urgent request.
-RESERVED_S = 0.5
+RESERVATION_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,8 +62,8 @@
     """
 
     left: float
-    counted_s: float
-    next_turn_s: float
+    refilled_s: float
+    next_retry_s: float
     urgent: int = 0
     urgent_until_s: float = float("-inf")
 
@@ -80,7 +80,7 @@
         self._clock = clock
         self._permits: dict[EndpointIncarnation, _Permits] = {}
 
-    def ask(self, incarnation: EndpointIncarnation, per_s: float, priority: int) -> Grant:
+    def request(self, incarnation: EndpointIncarnation, per_s: float, priority: int) -> Grant:
         """Take a permit for one request to an endpoint if there is one.
 
         Args:
@@ -89,19 +89,19 @@
           priority: Rank of the request, 0 most urgent.
         """
         now_s = self._clock()
-        permits = self._counted(incarnation, per_s, now_s)
-        is_kept = permits.urgent_until_s > now_s and permits.urgent < priority
-        needed = 2.0 if is_kept else 1.0
+        permits = self._refilled(incarnation, per_s, now_s)
+        is_reserved = permits.urgent_until_s > now_s and permits.urgent < priority
+        needed = 2.0 if is_reserved else 1.0
         if permits.left >= needed:
             permits.left -= 1.0
             return Grant(True)
-        wait_s = _turn(permits, (needed - permits.left) / per_s, per_s, now_s)
-        if not is_kept:
+        wait_s = _assign_retry(permits, (needed - permits.left) / per_s, per_s, now_s)
+        if not is_reserved:
             permits.urgent = priority
-            permits.urgent_until_s = now_s + wait_s + RESERVED_S
+            permits.urgent_until_s = now_s + wait_s + RESERVATION_S
         return Grant(False, wait_s)
 
-    def give_back(self, incarnation: EndpointIncarnation) -> None:
+    def return_permit(self, incarnation: EndpointIncarnation) -> None:
         """Return a permit whose request certainly did not reach the endpoint."""
         permits = self._permits.get(incarnation)
         if permits is not None:
@@ -112,23 +112,23 @@
         for incarnation in self._permits.keys() - incarnations:
             del self._permits[incarnation]
 
-    def _counted(self, incarnation: EndpointIncarnation, per_s: float, now_s: float) -> _Permits:
+    def _refilled(self, incarnation: EndpointIncarnation, per_s: float, now_s: float) -> _Permits:
         """Return the bucket of an endpoint, refilled up to now."""
         permits = self._permits.get(incarnation)
         if permits is None:
             permits = self._permits[incarnation] = _Permits(0.0, now_s, now_s)
-        came_up = (now_s - permits.counted_s) * per_s
-        permits.left = min(permits.left + came_up, _most_kept(per_s))
-        permits.counted_s = now_s
+        refill = (now_s - permits.refilled_s) * per_s
+        permits.left = min(permits.left + refill, _bucket_size(per_s))
+        permits.refilled_s = now_s
         return permits
 
 
-def _most_kept(per_s: float) -> float:
+def _bucket_size(per_s: float) -> float:
     """Return the bucket size: how many unused permits are kept."""
-    return max(KEPT_PERMITS, per_s * KEPT_S)
+    return max(MIN_BUCKET_SIZE, per_s * BUCKET_S)
 
 
-def _turn(permits: _Permits, next_s: float, per_s: float, now_s: float) -> float:
+def _assign_retry(permits: _Permits, next_s: float, per_s: float, now_s: float) -> float:
     """Assign a retry time to a refused instance and return the seconds until then.
 
     Args:
@@ -137,7 +137,7 @@
       per_s: Rate of the bucket.
       now_s: The current time.
     """
-    latest_s = now_s + LONGEST_WAIT_S
-    turn_s = min(latest_s, max(now_s + next_s, permits.next_turn_s))
-    permits.next_turn_s = turn_s + 1.0 / (TURNS_PER_PERMIT * per_s + TURNS_PER_S)
-    return max(LEAST_WAIT_S, turn_s - now_s)
+    latest_s = now_s + MAX_WAIT_S
+    retry_s = min(latest_s, max(now_s + next_s, permits.next_retry_s))
+    permits.next_retry_s = retry_s + 1.0 / (RETRIES_PER_PERMIT * per_s + EXTRA_RETRIES_PER_S)
+    return max(MIN_WAIT_S, retry_s - now_s)
