--- a/packages/springbridge/springbridge/duties/lease.py
+++ b/packages/springbridge/springbridge/duties/lease.py
@@ -6,10 +6,10 @@
 holds. The results are a Step, and a Tenure for the holder.
 
 Only the holders check the fencing token, so two holders at a time have to be prevented by each
-instance's own clock. A holder counts its tenure from before it sent its last renewal, even if the
-answer is late. A candidate counts from when it first saw the current row, which is later, and takes
-the lease one full lease length after that at the earliest. The store writes a row only if its stamp
-is the one that the writer has seen (compare-and-swap), so that one of several candidates wins.
+instance's own clock. A holder counts its tenure from before it sent its last renewal, not from the
+answer. A candidate counts from when it first saw the current row, which is later, and takes the
+lease one full lease length after that at the earliest. The store writes a row only if its stamp is
+the one that the writer has seen (compare-and-swap), so that one of several candidates wins.
 
 The fencing token is the stamp of the write that took the lease. Stamps only rise and are never
 reused, even if the store is restored from an older copy (store_stamp.py). After such a restore
--- a/packages/springbridge/springbridge/duties/usage_reports.py
+++ b/packages/springbridge/springbridge/duties/usage_reports.py
@@ -20,7 +20,7 @@
 SETTLE_S = 2.5
 # Seconds after the end of a window during which its report may still be sent.
 SEND_WITHIN_S = 40.0
-# Seconds by which the clock of an earlier holder may have been ahead of this holder's.
+# Seconds by which the true time of an earlier holder may have been ahead of this holder's.
 CLOCK_LEAD_S = 0.5
 
 
