--- a/packages/springbridge-node/springbridge_node/gateway/peers/statement_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/statement_sharing_test.py
@@ -9,7 +9,7 @@
 from springbridge.rates.statements import Statement
 from springbridge.routing.eligibility import Obstacle, obstacle
 from springbridge.routing.records import EndpointIncarnation
-from springbridge.statements.leaving import PEERS_WORD_S
+from springbridge.statements.leaving import PEER_REPORT_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
 
@@ -86,10 +86,10 @@
         instance.parts.sharing.merge(told, "10.0.0.9:1")
         assert_that(obstacle_at(instance), Is(Obstacle.SAID_TO_LEAVE))
         assert_that(len(registry_of(instance).candidates("model", ())), Equals(1))
-        await asyncio.sleep(PEERS_WORD_S / 2)
+        await asyncio.sleep(PEER_REPORT_S / 2)
         # A peer that goes on telling does not keep it there.
         instance.parts.sharing.merge(told, "10.0.0.9:1")
-        await asyncio.sleep(PEERS_WORD_S / 2 + 0.1)
+        await asyncio.sleep(PEER_REPORT_S / 2 + 0.1)
         assert_that(obstacle_at(instance), Is(None))
 
     with_instances(body, 1)
--- a/packages/springbridge-standins/springbridge_standins/mutants/rate_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/rate_mutants.py
@@ -27,14 +27,14 @@
     Mutant(
         "a rate: an answer that may be older does not end it",
         f"{LIBRARY}/rates/statements.py",
-        "return _is_stricter(told.per_s, known.per_s)",
+        "return _is_stricter(new.per_s, known.per_s)",
         "return True",
         TABLE,
     ),
     Mutant(
         "a rate: an older answer does not bring it back",
         f"{LIBRARY}/rates/statements.py",
-        "if told.received_s <= known.sent_s:\n        return False",
+        "if new.received_s <= known.sent_s:\n        return False",
         "if False:\n        return False",
         STATEMENTS,
     ),
--- a/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
@@ -18,7 +18,7 @@
     Mutant(
         "leaving: the last resort ends",
         f"{LIBRARY}/statements/leaving.py",
-        "return now_s < leaving.heard_s + within_bound_s(LONGEST_LAST_RESORT_S, drain_s)",
+        "return now_s < leaving.heard_s + within_bound_s(MAX_LAST_RESORT_S, drain_s)",
         "return True",
         f"{LEAVING}::test_an_endpoint_that_says_it_leaves_gets_no_more_requests",
     ),
@@ -46,7 +46,7 @@
     Mutant(
         "leaving: a peer's word does not last for ever",
         f"{LIBRARY}/statements/leaving.py",
-        "now_s < leaving.told_s + PEERS_WORD_S",
+        "now_s < leaving.told_s + PEER_REPORT_S",
         "True",
         SHARING,
     ),
--- a/packages/springbridge/springbridge/rates/held_back.py
+++ b/packages/springbridge/springbridge/rates/held_back.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 
 # Longest Retry-After in seconds. The endpoint may have no rate any more by then.
-LONGEST_RETURN_S = 8.0
+MAX_RETRY_AFTER_S = 8.0
 # Shortest Retry-After in seconds, about the time that a new connection takes.
-LEAST_RETURN_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,11 +69,11 @@
             for endpoint_id in endpoint_ids
             for rank, hold in self._holds.get(endpoint_id, {}).items()
             if rank <= priority
-        ] or [Hold(now_s, LEAST_RETURN_S)]
-        first_s = min(max(now_s + LEAST_RETURN_S, hold.until_s) for hold in holds)
+        ] or [Hold(now_s, MIN_RETRY_AFTER_S)]
+        first_s = min(max(now_s + MIN_RETRY_AFTER_S, hold.until_s) for hold in holds)
         earliest_s = max(first_s, self._next_return_s.get(service, now_s))
-        return_s = min(earliest_s, now_s + LONGEST_RETURN_S)
-        pace_s = 1.0 / sum(1.0 / max(LEAST_RETURN_S, hold.wait_s) for hold in holds)
+        return_s = min(earliest_s, now_s + MAX_RETRY_AFTER_S)
+        pace_s = 1.0 / sum(1.0 / max(MIN_RETRY_AFTER_S, hold.wait_s) for hold in holds)
         self._next_return_s[service] = return_s + pace_s
         return return_s - now_s
 
--- a/packages/springbridge/springbridge/rates/held_back_test.py
+++ b/packages/springbridge/springbridge/rates/held_back_test.py
@@ -4,7 +4,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from springbridge.rates.held_back import LONGEST_RETURN_S, HeldBack
+from springbridge.rates.held_back import MAX_RETRY_AFTER_S, HeldBack
 
 
 @pytest.fixture
@@ -42,7 +42,7 @@
 def test_no_caller_is_sent_away_for_long(held):
     held.hold("e1", 1, 4.0)
     times = [held.return_s("model", ["e1"], 1) for _ in range(50)]
-    assert_that(max(times), LessThan(LONGEST_RETURN_S + 0.001))
+    assert_that(max(times), LessThan(MAX_RETRY_AFTER_S + 0.001))
     assert_that(min(times), GreaterThan(3.9))
 
 
--- a/packages/springbridge/springbridge/rates/rate_table.py
+++ b/packages/springbridge/springbridge/rates/rate_table.py
@@ -71,22 +71,22 @@
         """Return the newest statement about an endpoint that had a rate, None if it never had."""
         return self._statements.get(incarnation)
 
-    def take(self, incarnation: EndpointIncarnation, told: Statement) -> RateChange | None:
+    def take(self, incarnation: EndpointIncarnation, new: Statement) -> RateChange | None:
         """Merge a statement and return the change of the stated rate, None if there is none."""
         known = self._statements.get(incarnation)
-        if known is None and told.per_s is None:
+        if known is None and new.per_s is None:
             return None
-        if known is not None and known.per_s == told.per_s:
-            self._statements[incarnation] = joined(known, told)
+        if known is not None and known.per_s == new.per_s:
+            self._statements[incarnation] = joined(known, new)
             return None
-        if known is not None and not replaces(told, known):
+        if known is not None and not replaces(new, known):
             return None
-        self._statements[incarnation] = told
-        if told.per_s is None:
+        self._statements[incarnation] = new
+        if new.per_s is None:
             self._limited.discard(incarnation)
         else:
             self._limited.add(incarnation)
-        return RateChange(incarnation, known.per_s if known else None, told.per_s)
+        return RateChange(incarnation, known.per_s if known else None, new.per_s)
 
     def keep_only(self, incarnations: Set[EndpointIncarnation]) -> None:
         """Drop all endpoints but the given ones, and ends of rates older than KEEP_ENDED_S."""
--- a/packages/springbridge/springbridge/rates/statements.py
+++ b/packages/springbridge/springbridge/rates/statements.py
@@ -14,7 +14,7 @@
 
 # Lowest rate that is applied, in requests a second; lower ones and 0 count as this one. An endpoint
 # that gets no requests could not state that the limit is over.
-LEAST_PER_S = 0.2
+MIN_RATE_PER_S = 0.2
 # Rate in requests a second from which there is no limit: no instance sends so many.
 NO_LIMIT_PER_S = 100_000.0
 
@@ -58,7 +58,7 @@
     """Return the rate to apply for a valid statement, None for no limit."""
     if stated.per_s is None or stated.per_s >= NO_LIMIT_PER_S:
         return None
-    return max(LEAST_PER_S, stated.per_s)
+    return max(MIN_RATE_PER_S, stated.per_s)
 
 
 def is_literal(stated: StatedRate) -> bool:
@@ -66,13 +66,13 @@
     return is_readable(stated) and rate_of(stated) == stated.per_s
 
 
-def replaces(told: Statement, known: Statement) -> bool:
+def replaces(new: Statement, known: Statement) -> bool:
     """Return whether a statement replaces the known one."""
-    if told.sent_s >= known.received_s:
+    if new.sent_s >= known.received_s:
         return True
-    if told.received_s <= known.sent_s:
+    if new.received_s <= known.sent_s:
         return False
-    return _is_stricter(told.per_s, known.per_s)
+    return _is_stricter(new.per_s, known.per_s)
 
 
 def joined(one: Statement, other: Statement) -> Statement:
--- a/packages/springbridge/springbridge/rates/statements_test.py
+++ b/packages/springbridge/springbridge/rates/statements_test.py
@@ -5,7 +5,7 @@
 from testtools.matchers import Equals, Is
 
 from springbridge.rates.statements import (
-    LEAST_PER_S,
+    MIN_RATE_PER_S,
     StatedRate,
     Statement,
     is_literal,
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "expected"),
+    ("new", "expected"),
     [
         # Its request was sent after the known response had arrived.
         (Statement(None, 11.0, 11.5), True),
@@ -34,9 +34,9 @@
     ],
 )
 def test_a_statement_replaces_another_one_if_it_is_newer_or_perhaps_newer_and_stricter(
-    told, expected
+    new, expected
 ):
-    assert_that(replaces(told, KNOWN), Is(expected))
+    assert_that(replaces(new, KNOWN), Is(expected))
 
 
 def test_a_rate_that_may_be_newer_than_its_end_holds():
@@ -58,8 +58,8 @@
         (StatedRate(0.5), 0.5, True),
         (StatedRate(200.0), 200.0, True),
         # Without any requests the endpoint could not state that the limit is over.
-        (StatedRate(0.0), LEAST_PER_S, False),
-        (StatedRate(0.01), LEAST_PER_S, False),
+        (StatedRate(0.0), MIN_RATE_PER_S, False),
+        (StatedRate(0.01), MIN_RATE_PER_S, False),
         (StatedRate(float("inf")), None, False),
         (StatedRate(1e9), None, False),
     ],
--- a/packages/springbridge/springbridge/statements/leaving.py
+++ b/packages/springbridge/springbridge/statements/leaving.py
@@ -16,10 +16,10 @@
 # may be sent, so that it is sent before the bound and not at it.
 DRAIN_MARGIN_S = 0.1
 # Longest time in seconds for which an endpoint may be used as the last resort after its statement.
-LONGEST_LAST_RESORT_S = 1.9
+MAX_LAST_RESORT_S = 1.9
 # Seconds for which a peer's report ranks an endpoint behind the others. The list, which is read
 # every half second, shows the same long before that unless the store is unavailable.
-PEERS_WORD_S = 10.0
+PEER_REPORT_S = 10.0
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
 
 def is_likely(leaving: Leaving, now_s: float) -> bool:
     """Return whether a peer's report makes an endpoint get requests only if there is no other."""
-    return leaving.told_s is not None and now_s < leaving.told_s + PEERS_WORD_S
+    return leaving.told_s is not None and now_s < leaving.told_s + PEER_REPORT_S
 
 
 def within_bound_s(wanted_s: float, drain_s: float) -> float:
@@ -64,4 +64,4 @@
     """Return whether a leaving endpoint may still be used if its whole service is leaving."""
     if leaving.heard_s is None:
         return False
-    return now_s < leaving.heard_s + within_bound_s(LONGEST_LAST_RESORT_S, drain_s)
+    return now_s < leaving.heard_s + within_bound_s(MAX_LAST_RESORT_S, drain_s)
--- a/packages/springbridge/springbridge/statements/leaving_test.py
+++ b/packages/springbridge/springbridge/statements/leaving_test.py
@@ -6,8 +6,8 @@
 
 from springbridge.statements.leaving import (
     DRAIN_MARGIN_S,
-    LONGEST_LAST_RESORT_S,
-    PEERS_WORD_S,
+    MAX_LAST_RESORT_S,
+    PEER_REPORT_S,
     Leaving,
     is_last_resort,
     is_likely,
@@ -17,8 +17,8 @@
 
 def test_a_peers_word_holds_for_a_while():
     told = Leaving(told_s=100.0)
-    assert_that(is_likely(told, 100.0 + PEERS_WORD_S - 0.1), Is(True))
-    assert_that(is_likely(told, 100.0 + PEERS_WORD_S), Is(False))
+    assert_that(is_likely(told, 100.0 + PEER_REPORT_S - 0.1), Is(True))
+    assert_that(is_likely(told, 100.0 + PEER_REPORT_S), Is(False))
     assert_that(is_likely(Leaving(), 100.0), Is(False))
 
 
@@ -31,10 +31,10 @@
 
 @pytest.mark.parametrize(
     ("drain_s", "seconds"),
-    [(2.0, LONGEST_LAST_RESORT_S), (0.4, 0.4 - DRAIN_MARGIN_S), (0.05, 0.0), (float("inf"), 1.9)],
+    [(2.0, MAX_LAST_RESORT_S), (0.4, 0.4 - DRAIN_MARGIN_S), (0.05, 0.0), (float("inf"), 1.9)],
 )
 def test_the_last_resort_ends_before_the_operators_bound(drain_s, seconds):
-    assert_that(within_bound_s(LONGEST_LAST_RESORT_S, drain_s), Equals(seconds))
+    assert_that(within_bound_s(MAX_LAST_RESORT_S, drain_s), Equals(seconds))
 
 
 def test_one_that_leaves_is_the_last_resort_for_a_moment():
--- a/packages/springbridge/springbridge/statements/rests.py
+++ b/packages/springbridge/springbridge/statements/rests.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass
 
 # Longest rest in seconds; a longer one counts as this long. An hour.
-LONGEST_REST_S = 3600.0
+MAX_REST_S = 3600.0
 # Seconds after which the probe request counts as accepted although no response has begun. An
 # endpoint without free capacity rejects a request at once.
 TRIAL_S = 0.25
 
 # Longest time in seconds for which a rest that a peer reported ranks an endpoint behind the others.
-LONGEST_PEERS_REST_S = 10.0
+MAX_PEER_REST_S = 10.0
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
       rest_s: Seconds for which the endpoint wants no requests.
       received_s: When the response arrived.
     """
-    until_s = received_s + min(rest_s, LONGEST_REST_S)
+    until_s = received_s + min(rest_s, MAX_REST_S)
     return Rest(until_s if known is None else max(known.until_s, until_s))
 
 
--- a/packages/springbridge/springbridge/statements/rests_test.py
+++ b/packages/springbridge/springbridge/statements/rests_test.py
@@ -4,7 +4,7 @@
 from testtools.matchers import Equals, Is
 
 from springbridge.statements.rests import (
-    LONGEST_REST_S,
+    MAX_REST_S,
     TRIAL_S,
     Rest,
     after_send,
@@ -22,7 +22,7 @@
 
 
 def test_an_endless_rest_counts_as_an_hour():
-    assert_that(rest_until(None, 1e12, 100.0), Equals(Rest(100.0 + LONGEST_REST_S)))
+    assert_that(rest_until(None, 1e12, 100.0), Equals(Rest(100.0 + MAX_REST_S)))
 
 
 def test_at_the_end_of_a_rest_one_request_goes_first():
--- a/packages/springbridge/springbridge/statements/statement_table.py
+++ b/packages/springbridge/springbridge/statements/statement_table.py
@@ -83,10 +83,10 @@
             return False
         # The list may still have had the previous run when the first statement came, which was then
         # recorded for that run. The time as a last resort must not start again.
-        leaving.heard_s = min(self._words_of(incarnation.endpoint_id), default=self._clock())
+        leaving.heard_s = min(self._leaving_times(incarnation.endpoint_id), default=self._clock())
         return True
 
-    def _words_of(self, endpoint_id: str) -> Iterator[float]:
+    def _leaving_times(self, endpoint_id: str) -> Iterator[float]:
         """Return when each run of an endpoint first stated that it is leaving."""
         for incarnation, said in self._said.items():
             if incarnation.endpoint_id == endpoint_id and said.leaving.heard_s is not None:
@@ -117,7 +117,7 @@
         said = self.of(incarnation)
         now_s = self._clock()
         was_told = said.peers_rest_until_s > now_s
-        until_s = now_s + min(rest_s, rests.LONGEST_PEERS_REST_S)
+        until_s = now_s + min(rest_s, rests.MAX_PEER_REST_S)
         said.peers_rest_until_s = max(said.peers_rest_until_s, until_s)
         said.behind_until_s = max(said.behind_until_s, until_s + spread_s)
         return not was_told
