--- a/packages/springbridge/springbridge/routing/__init__.py
+++ b/packages/springbridge/springbridge/routing/__init__.py
@@ -1,24 +1,28 @@
-"""Routing by host and path: the rules that decide on a request, one module each, without any I/O.
+"""Routing by host and path: the decision rules for a request, one module each, without any I/O.
 
-In the order of a request's way:
+In the order in which a request passes them:
 
 admission            which route, customer and service a request belongs to, or why it is refused
 eligibility          which endpoints may get a request
-overload             when a request is refused because its endpoints have too much
-coordinators         which instances choose for the others in a large fleet
+overload             when a request is refused because its endpoints are overloaded
+coordinators         which instances choose endpoints for the others in a large fleet
 endpoint_choice      which of the eligible endpoints gets a request
-selection            the endpoint of one attempt: eligibility, overload and choice together
-retries              whether another endpoint may get a request, and how long silence is waited for
+selection            the endpoint for one attempt: eligibility, overload and choice combined
+retries              whether a request may be retried, and how long to wait for a silent endpoint
 shared_retry_budget  how many retries all instances together may send
-giving_up            which answer a request gets that no further endpoint gets
-retry_after          when the caller of a refused request should come back
+giving_up            the final answer to a request that is not sent to a further endpoint
+retry_after          the Retry-After time of a refused request
 
-Beside a request's way:
+Independent of a single request:
 
-freshness            who reads configuration and endpoint list, and when they count as confirmed
-planned_stop         when a stopping instance tells its peers, refuses requests, and ends
+store_freshness      which instances read configuration and endpoint list, and when these count as
+                     confirmed
+readiness            when an instance is ready for callers
+planned_stop         when a stopping instance notifies its peers, refuses requests, and exits
+evacuations          which failure domains the operators have evacuated
 
-What they work with: `records` (configuration, endpoints, a request's facts), `endpoint_registry`
-and `endpoint_state` (what an instance knows of endpoints), `load_notices`, `prompt_load`,
-`prefix_cache`, `reading_speed` and `event_stream`.
+Shared data and state: `records` (configuration, endpoints, facts of a request),
+`endpoint_registry` and `endpoint_state` (what an instance knows of endpoints), `load_notices`,
+`listed_entries`, `older_lists`, `prompt_load`, `prefix_cache`, `reading_speed`,
+`reserved_endpoints`, `endpoint_cost`, `ejection` and `event_stream`.
 """
--- a/packages/springbridge/springbridge/routing/admission.py
+++ b/packages/springbridge/springbridge/routing/admission.py
@@ -1,13 +1,13 @@
-"""Admission: which route, customer and service a request belongs to, or why it is refused.
-
-Decided: whether the operators' configuration allows a request, and under which priority and
-deadline.
-Inputs: the newest configuration; the request's host, path and key, when it arrived and how many
-seconds the caller waits. Its size is not checked here: the reader of the connection holds callers
-to CallerLimits.
-Outcome: an Admitted, or a Problem for no configuration, an unknown host or path, or an unknown key.
-Why: a request is refused before anything is spent on it; the customer's priority outranks the
-route's, and the shorter patience of caller and route sets the deadline.
+"""Admission: maps a request to its route, customer and service, or refuses it.
+
+Decides whether the operators' configuration allows a request, and with which priority and deadline.
+Inputs: the newest configuration; the request's host, path and key, its time of arrival and the
+caller's timeout in seconds. Its size is not checked here: the connection's reader enforces
+CallerLimits.
+Result: an Admitted, or a Problem if there is no configuration yet or the host, path or key is
+unknown.
+A request is refused before any resources are spent on it. The customer's priority overrides the
+route's, and the shorter of the caller's and the route's timeout sets the deadline.
 """
 
 from dataclasses import dataclass
@@ -27,17 +27,17 @@
     Service,
 )
 
-# Connections to an endpoint whose service the configuration does not describe. The least.
+# Connections to an endpoint whose service the configuration does not describe. The minimum.
 CONNECTIONS_OF_UNKNOWN_SERVICE = 1
 
 
 @dataclass(frozen=True)
 class RouteIndex:
-    """A configuration arranged for lookups.
+    """A configuration indexed for lookups by host and by key.
 
     Attributes:
-      routes_by_host: For each host, in lower case, its routes, the longest path prefix first.
-      customers_by_key: The customer of each key.
+      routes_by_host: The routes of each host (in lower case), longest path prefix first.
+      customers_by_key: The customer that owns each key.
     """
 
     configuration: Configuration
@@ -46,7 +46,7 @@
 
     @classmethod
     def from_config(cls, configuration: Configuration) -> "RouteIndex":
-        """Arrange a configuration."""
+        """Build the index of a configuration."""
         by_host: dict[str, list[Route]] = {}
         for route in configuration.routes:
             by_host.setdefault(route.host.lower(), []).append(route)
@@ -59,10 +59,10 @@
 
 
 def find_route(index: RouteIndex, host: str, path: str) -> Route | None:
-    """Return the route of a host with the longest prefix of the path, or None.
+    """Return the host's route with the longest matching path prefix, or None if none matches.
 
     Args:
-      host: As the caller sent it; case and port do not matter.
+      host: The host as sent by the caller; case and port are ignored.
     """
     name = host.partition(":")[0].lower()
     for route in index.routes_by_host.get(name, ()):
@@ -72,7 +72,10 @@
 
 
 def pick_service(route: Route, request_id: str) -> str:
-    """Return the service for a request: by weight, and the same at each try of one request."""
+    """Return the service for a request, chosen by weight.
+
+    The choice depends only on the request id, so every try of a request gets the same service.
+    """
     if len(route.services) == 1:
         return route.services[0].name
     total = sum(service.weight for service in route.services)
@@ -81,7 +84,7 @@
         point -= service.weight
         if point < 0:
             return service.name
-    # Rounding left the point at the end of the last share.
+    # Rounding errors can leave the point at the end of the last share.
     return next(service.name for service in reversed(route.services) if service.weight > 0)
 
 
@@ -90,11 +93,11 @@
     arrival: Arrival,
     configuration_due_s: float,
 ) -> Result[Admitted, Problem]:
-    """Return the request as the configuration allows it, or why it is refused.
+    """Return the admitted request, or the problem for which it is refused.
 
     Args:
       index: The newest configuration, or None while the instance has none.
-      configuration_due_s: When to come back in that case, in seconds from now.
+      configuration_due_s: Retry-After in seconds if there is no configuration.
     """
     if index is None:
         detail = "no configuration yet"
@@ -119,27 +122,30 @@
 
 
 def _needs_customer(index: RouteIndex, route: Route) -> bool:
-    """Return whether a caller has to show a key, which needs operators that keep customers."""
+    """Return whether the request needs a customer's key.
+
+    Without customers no key is required, unless the operators keep an (empty) list of customers.
+    """
     configuration = index.configuration
     return route.needs_key and (configuration.keeps_customers or bool(configuration.customers))
 
 
 def _service(index: RouteIndex, route: Route, request_id: str) -> Service:
-    """Return the service for a request, with defaults where the configuration does not name it."""
+    """Return the service for a request, with defaults if the configuration does not describe it."""
     name = pick_service(route, request_id)
     service = index.configuration.services.get(name)
     return service or Service(name, max_connections=CONNECTIONS_OF_UNKNOWN_SERVICE)
 
 
 def _priority(route: Route, customer: CustomerKeys | None) -> int:
-    """Return the rank of a request: the customer's outranks the route's."""
+    """Return the priority of a request: the customer's if it has one, else the route's."""
     if customer is not None and customer.priority is not None:
         return customer.priority
     return route.priority
 
 
 def _deadline_s(route: Route, arrival: Arrival) -> float:
-    """Return the moment at which a request is given up, in seconds of the monotonic clock."""
+    """Return the request's deadline in seconds of the monotonic clock."""
     patience_s = route.timeout_s
     if arrival.patience_s is not None:
         patience_s = min(patience_s, arrival.patience_s)
--- a/packages/springbridge/springbridge/routing/eligibility.py
+++ b/packages/springbridge/springbridge/routing/eligibility.py
@@ -1,17 +1,17 @@
-"""Which endpoints may get a request.
-
-Decided: the endpoints of a service to which a request may be sent now.
-Inputs: each endpoint's state as this instance sees it, the endpoints that had the request, and the
-moment in seconds of the instance's monotonic clock.
-Outcome: the endpoints to which there is no obstacle. Where there are none, those that are only
-behind the others; where there are none of these either, those that have just said that they leave.
-Why: an endpoint that is no longer listed has left and must get nothing. The exception is an outage
-of the platform's store: entries of live endpoints can lapse over it, so that a service which lost
-more than half of its endpoints at once keeps them for a short grace.
-
-All that may stand against an endpoint is asked here, in the order of `Obstacle`. What concerns one
-request alone (endpoints that had it, that it got no permit for, or that have enough trials) is
-left out by its id.
+"""Eligibility: which endpoints of a service may get a request now.
+
+Inputs: each endpoint's state as seen by this instance, the endpoints that were already tried, and
+the current time in seconds of the instance's monotonic clock.
+Result: the endpoints that nothing excludes. If there are none, the endpoints that are only
+deprioritized (`DEPRIORITIZING_REASONS`); if there are none of these either, those that have
+announced only recently that they are leaving.
+An endpoint that is no longer listed has left and must get no request. The exception is an outage
+of the platform's store: entries of live endpoints can lapse during it, so a service that lost more
+than half of its endpoints at once keeps them for a short grace period.
+
+All reasons to exclude an endpoint are checked here, in the order of `ExclusionReason`. Exclusions
+that concern a single request (endpoints already tried, without a permit, or with enough trials) are
+passed in as endpoint ids.
 """
 
 from collections import Counter
@@ -22,17 +22,17 @@
 from springbridge.routing.records import EndpointEntry
 from springbridge.statements import leaving, rests
 
-# Seconds for which endpoints stay usable after a mass lapse. The platform says that live endpoints
-# are back on the list within about two seconds, and no endpoint may get a request 2 s after it left
-# (the default of drain_s).
+# Seconds for which endpoints stay usable after a mass lapse. According to the platform, live
+# endpoints are listed again within about two seconds, and no endpoint may get a request 2 s after
+# it left (the default of drain_s).
 LAPSE_GRACE_S = 1.9
-# Age of the list in seconds above which a gap counts as an outage of the store. It is twice the
-# half second at which the list is read.
+# Age of the list in seconds above which the store counts as having been down: twice the interval
+# of half a second at which the list is read.
 OUTAGE_S = 1.0
 
 
 class Obstacle(Enum):
-    """What stands against an endpoint, in the order in which it is asked; the values are logged."""
+    """Why an endpoint gets no request, in the order of the checks; the values are logged."""
 
     NOT_LISTED = "not listed"
     DRAINING = "draining"
@@ -45,7 +45,7 @@
     RESTS_FROM_PEER = "rests from a peer"
 
 
-# Obstacles that only put an endpoint behind those without one.
+# Reasons for which an endpoint is used only if the service has no endpoint without any reason.
 BEHIND = frozenset({Obstacle.EJECTED, Obstacle.SAID_TO_LEAVE, Obstacle.RESTS_FROM_PEER})
 
 
@@ -59,9 +59,9 @@
     """Return the endpoints of a service that may get a request, in the order of the states.
 
     Args:
-      tried: Ids of the endpoints that had this request.
-      now_s: The moment, in seconds of the monotonic clock.
-      drain_s: Seconds after an endpoint's word that it leaves within which it may get requests.
+      tried: Ids of the endpoints that were already tried for this request.
+      now_s: The current time in seconds of the monotonic clock.
+      drain_s: Seconds for which an endpoint may get requests after announcing that it leaves.
     """
     free, behind, last = [], [], []
     for state in states:
@@ -80,10 +80,10 @@
 def may_get_request(
     state: EndpointState, now_s: float, drain_s: float, last_resort: bool = False
 ) -> bool:
-    """Return whether an endpoint that was chosen may still get a request.
+    """Return whether an endpoint that was chosen earlier may still get a request.
 
     Args:
-      last_resort: Whether it was chosen though it leaves, for want of another.
+      last_resort: Whether it was chosen although it is leaving, as there was no other endpoint.
     """
     found = obstacle(state, now_s)
     if found is Obstacle.LEAVING:
@@ -92,7 +92,7 @@
 
 
 def obstacle(state: EndpointState, now_s: float) -> Obstacle | None:
-    """Return the first thing that stands against an endpoint, None if nothing does."""
+    """Return the first reason to exclude an endpoint, None if there is none."""
     if state.usable_until_s <= now_s:
         return Obstacle.NOT_LISTED
     if state.entry.draining:
@@ -116,15 +116,15 @@
 
 
 def _is_last_resort(state: EndpointState, drain_s: float, now_s: float) -> bool:
-    """Return whether an endpoint that leaves is used if its service has no other."""
+    """Return whether a leaving endpoint may still be used if its service has no other."""
     return leaving.is_last_resort(state.said.leaving, drain_s, now_s)
 
 
 def avoided(states: Iterable[EndpointState], service: str, now_s: float) -> list[str]:
-    """Return the ids of endpoints that this instance does not use although they do not drain.
+    """Return the ids of endpoints excluded by this instance, except draining or evacuated ones.
 
-    A coordinator that chooses for this instance may not know what stands against them here. That
-    endpoints drain or are evacuated it knows.
+    A coordinator that chooses for this instance may not know of these exclusions. It does know
+    which endpoints drain or are evacuated.
     """
     return [
         state.entry.endpoint_id
@@ -137,7 +137,7 @@
 
 
 def lapse_grace_s(drain_s: float) -> float:
-    """Return for how many seconds endpoints stay usable after a mass lapse.
+    """Return the grace period after a mass lapse in seconds, limited by the drain time.
 
     Args:
       drain_s: Seconds after which an endpoint that has left must get no more requests.
@@ -146,13 +146,13 @@
 
 
 def lapsed_services(known: Iterable[EndpointEntry], listed: Collection[str]) -> set[str]:
-    """Return the services of which more than half of the endpoints are missing at once.
+    """Return the services of which more than half of the endpoints disappeared at once.
 
-    One of several that is missing has left; most of them missing together have lapsed. The only
-    endpoint of a service counts as most, so it lapses too.
+    A single endpoint of several that is missing has left; if most are missing, their entries have
+    lapsed. The only endpoint of a service is more than half of it, so it counts as lapsed too.
 
     Args:
-      known: Entries of the list before and of the new one; draining endpoints do not count.
+      known: Entries known before the new list; draining endpoints do not count.
       listed: Ids of the endpoints on the new list.
     """
     staying = [entry for entry in known if not entry.draining]
