--- a/packages/springbridge/springbridge/routing/endpoint_choice.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice.py
@@ -1,13 +1,15 @@
-"""Which endpoint gets a request, of those that may get it.
-
-Decided: one endpoint, and for a prompt the endpoint from which it may fetch what that one keeps.
-Inputs: the endpoints that may get the request, with their load as far as this instance knows it;
-the request's prompt in parts and tokens.
-Outcome: a Choice. by_token_cost is for an instance that gets the notices of all requests;
-by_shared_prompt for one that knows only its own, and least_in_flight for requests without a prompt.
-Why: rendezvous hashing sends a shared prompt part to the same endpoint on every instance, so no
-message is needed. Where the load of all instances is known, the time that endpoints lose by reading
-prompts can be counted, which serves more requests in time.
+"""Load balancing: chooses one of the eligible endpoints for a request.
+
+For a request with a prompt it may also choose a source endpoint, from which the chosen one fetches
+cached prompt parts.
+Inputs: the eligible endpoints with their load as far as this instance knows it; the request's
+prompt in parts and tokens.
+Result: a Choice. by_token_cost is for an instance that gets the load notices of all requests,
+by_shared_prompt for one that knows only its own requests, and least_in_flight for requests without
+a prompt.
+Rendezvous hashing sends a shared prompt part to the same endpoint from every instance without any
+message. Where the load of all instances is known, the cost of reading prompts can be included,
+which serves more requests within their deadlines.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,27 +23,28 @@
 from springbridge.routing.reserved_endpoints import reserved_endpoints
 
 # Requests that an endpoint may have when a shared prompt part is sent there, in multiples of the
-# mean of all endpoints. It keeps a popular part from crowding an endpoint.
+# mean of all endpoints. It keeps a popular part from overloading an endpoint.
 LOAD_BOUND = 1.5
-# The same bound in requests where the mean is low. It lets the preferred endpoint take a second
+# Minimum of this bound in requests, for a low mean. It lets the preferred endpoint take a second
 # request in a fleet that is nearly idle.
 LEAST_BOUND = 2.0
-# Costs in prompt tokens that fall into the same step count as equal, and the hash decides. It is
-# 12.5 ms of reading at the usual 40,000 tokens a second.
+# Costs that fall into the same step of so many prompt tokens count as equal, and the hash decides.
+# It is 12.5 ms of reading at the usual 40,000 tokens a second.
 COST_STEP = 500
-# Share of the shared parts that the preferred endpoint counts as keeping where nothing is known.
+# Share of a prompt's shared parts that the preferred endpoint is assumed to have cached if no
+# endpoint is known to have them.
 PREFERRED_KEPT_SHARE = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """An endpoint for a request.
+    """The endpoint chosen for a request.
 
     Attributes:
-      source: An endpoint that keeps more of the prompt, to fetch that from; None if there is none.
-      fetched_tokens: Tokens of the prompt that the source is known to keep.
-      attempt_id: Under which the coordinator that chose has counted the request; "" if none did.
-      coordinator: The address of that coordinator; "" if none chose.
+      source: Endpoint from which to fetch cached prompt parts; None if nothing is fetched.
+      fetched_tokens: Prompt tokens that the source is known to have cached.
+      attempt_id: Id under which the coordinator that chose counts the request; "" if none chose.
+      coordinator: Address of that coordinator; "" if none chose.
     """
 
     state: EndpointState
@@ -62,7 +65,7 @@
     now_s: float,
     leaving: Sequence[EndpointState] = (),
 ) -> Choice:
-    """Return the endpoint with the fewest requests for its slots; the request's id breaks ties."""
+    """Return the endpoint with the fewest requests per slot; ties are broken by a hash."""
     state = min(
         states,
         key=lambda state: (
@@ -79,7 +82,10 @@
     now_s: float,
     leaving: Sequence[EndpointState] = (),
 ) -> Choice:
-    """Return the preferred endpoint of the prompt's shared part among those with few requests."""
+    """Return the preferred endpoint of the prompt's shared part among those within the load bound.
+
+    If no endpoint is within the bound, all of them are considered.
+    """
     parts = demand.prompt_parts
     if not parts:
         return least_in_flight(states, demand, now_s)
@@ -95,11 +101,11 @@
     now_s: float,
     leaving: Sequence[EndpointState] = (),
 ) -> Choice:
-    """Return the endpoint at which a request costs the fewest prompt tokens (endpoint_cost.py).
+    """Return the endpoint at which a request has the lowest token cost (endpoint_cost.py).
 
-    Of endpoints with about the same cost, the preferred one of the prompt's shared part is taken.
-    What endpoints keep that are about to leave is fetched while they last, or it would have to be
-    read anew.
+    Among endpoints of about the same cost, the preferred one of the prompt's shared part is taken.
+    Leaving endpoints serve as sources as long as they run; otherwise what they have cached would
+    have to be read again.
     """
     parts = demand.prompt_parts
     if not parts:
@@ -126,8 +132,8 @@
     """Return the endpoints whose cost falls into the lowest step.
 
     Args:
-      kept: For each endpoint the tokens of the prompt that it probably keeps.
-      most: Tokens of it at the endpoint that keeps the most; 0 if nothing can be fetched.
+      kept: Prompt tokens that each endpoint has probably cached.
+      most: The largest number of them at any endpoint; 0 if nothing can be fetched.
     """
     steps = []
     for state in states:
@@ -141,10 +147,10 @@
 def _kept_tokens(
     states: Sequence[EndpointState], parts: tuple[PromptPart, ...], reserved: frozenset[str]
 ) -> dict[str, int]:
-    """Return for each endpoint how many tokens of a prompt it probably keeps.
+    """Return how many tokens of a prompt each endpoint has probably cached.
 
-    Where no endpoint is known to keep the shared parts, as after a start of this instance, the
-    preferred endpoint probably does: all instances send them there first.
+    If no endpoint is known to have cached the shared parts, as after a start of this instance, the
+    preferred endpoint is assumed to: all instances send them there first.
     """
     prompt = prefixes(parts)
     kept = {state.entry.endpoint_id: state.cache.kept_of(prompt) for state in states}
@@ -160,8 +166,8 @@
 def _preferred(states: Sequence[EndpointState], parts: tuple[PromptPart, ...]) -> EndpointState:
     """Return the preferred endpoint of a prompt's shared part, by rendezvous hashing.
 
-    All instances of a mixed fleet have to prefer the same endpoint, so the key must stay the id of
-    the last part that other requests may share.
+    All instances of a fleet, also those of other releases, must prefer the same endpoint, so the
+    hash key must remain the id of the last part that other requests may share.
     """
     shared = parts[-2] if len(parts) > 1 else parts[-1]
     return max(states, key=lambda state: score(shared.part_id, state.entry.endpoint_id))
