--- a/packages/springbridge/springbridge/routing/endpoint_registry.py
+++ b/packages/springbridge/springbridge/routing/endpoint_registry.py
@@ -1,10 +1,10 @@
-"""The endpoints that this instance knows, and the endpoint list in use.
+"""Registry of the endpoints that this instance knows, with the endpoint list in use.
 
 Owns the state of each endpoint. The platform's list says which endpoints exist; the instance's own
-requests and the notices of its peers say how each of them does. Which endpoints may get a request
+requests and its peers' load notices supply their load and health. Which endpoints may get a request
 is decided in eligibility.py, and for how long a failing one is ejected in ejection.py.
 
-Relies on a monotonic clock in seconds. Nothing here waits or does input or output.
+Needs a monotonic clock in seconds. Nothing here blocks or does I/O.
 """
 
 from collections import Counter
@@ -28,23 +28,24 @@
 from springbridge.statements.statement_table import StatementTable
 from springbridge.store_stamp import era_of
 
-# Seconds after which the list says whether an endpoint is cold that has just come back: endpoints
-# write their entries each second, and readers take half a second.
+# Seconds after which the list shows whether an endpoint that has just come back is cold: endpoints
+# write their entries every second, and readers take another half second.
 COLD_NEWS_S = 2.0
 
 
 class EndpointRegistry:
-    """All endpoints that this instance may use.
+    """All endpoints that this instance may use, by id.
 
     Attributes:
-      statements: What the endpoints have said of themselves.
+      statements: What the endpoints have stated about themselves in answers.
     """
 
     def __init__(self, clock: Callable[[], float], drain_s: float = float("inf")) -> None:
-        """Start without endpoints.
+        """Create an empty registry.
 
         Args:
-          drain_s: Seconds within which an endpoint that has left may still get requests.
+          clock: Monotonic clock in seconds.
+          drain_s: Seconds for which an endpoint that has left may still get requests.
         """
         self._clock = clock
         self._drain_s = drain_s
@@ -56,12 +57,12 @@
         self._fingerprint = 0
         self._older_lists = OlderLists(clock)
         self._evacuated: frozenset[str] = frozenset()
-        # Kept with the list: to look for them takes as long as to look for candidates.
+        # Cached with each list: searching all states costs as much as a search for candidates.
         self._leaving: dict[str, list[EndpointState]] = {}
 
     @property
     def fingerprint(self) -> int:
-        """Return a hash of the list in use, the same on all instances with that list; 0 before."""
+        """Return a hash of the list in use, equal on all instances with that list; 0 if none."""
         return self._fingerprint
 
     @property
@@ -70,27 +71,27 @@
         return self._revision
 
     def now_s(self) -> float:
-        """Return the moment on the clock that all states are kept by, in seconds."""
+        """Return the current time in seconds of the clock that all states use."""
         return self._clock()
 
     def age_s(self) -> float:
-        """Return how old the list in use is, in seconds; infinite before the first."""
+        """Return the age of the list in use in seconds, infinite before the first."""
         return float("inf") if self._read_s is None else self._clock() - self._read_s
 
     def confirm(self, age_s: float) -> None:
-        """Note that the list in use was the newest so many seconds ago."""
+        """Record that the list in use was confirmed as the newest age_s seconds ago."""
         if self._read_s is not None:
             self._read_s = max(self._read_s, self._clock() - age_s)
 
     def install(self, snapshot: EndpointSnapshot, capacities: dict[str, int], age_s: float) -> bool:
-        """Use a list unless a newer one is in use.
+        """Install an endpoint list unless a newer one is in use.
 
         Args:
-          capacities: Tokens that an endpoint of each service can keep.
-          age_s: How long ago the list was read, in seconds.
+          capacities: Prompt cache capacity in tokens of an endpoint, by service.
+          age_s: Seconds since the list was read.
 
         Returns:
-          Whether an endpoint came, went, or changed.
+          Whether an endpoint was added, removed or changed.
         """
         if snapshot.revision < self._revision:
             return False
@@ -108,12 +109,12 @@
         return changed
 
     def _known(self, endpoint_id: str) -> EndpointEntry | None:
-        """Return the entry in use of an endpoint, None if there is none."""
+        """Return the current entry of an endpoint, None if it is unknown."""
         state = self._states.get(endpoint_id)
         return state.entry if state else None
 
     def _update(self, listed: dict[str, EndpointEntry], capacities: dict[str, int]) -> bool:
-        """Add or update the listed endpoints and return whether one is new or changed."""
+        """Add or update the listed endpoints; return whether any is new or changed."""
         changed = False
         for endpoint_id, entry in listed.items():
             state = self._states.get(endpoint_id)
@@ -131,9 +132,9 @@
         return changed
 
     def _drop_unlisted(self, listed: dict[str, EndpointEntry], after_outage: bool) -> bool:
-        """Stop using endpoints that are no longer listed and return whether there were any.
+        """Stop using endpoints that are no longer listed; return whether there were any.
 
-        An endpoint that still has requests is kept until they have ended.
+        The state of an endpoint with running requests is kept until they have ended.
         """
         now_s = self._clock()
         changed = False
@@ -152,7 +153,7 @@
         return changed
 
     def evacuate(self, failure_domains: frozenset[str]) -> None:
-        """Send nothing to the endpoints of some failure domains, and again to those of others."""
+        """Exclude the endpoints of the evacuated failure domains, and include all others again."""
         self._evacuated = failure_domains
         perhaps_cold_until_s = self._clock() + COLD_NEWS_S
         for state in self._states.values():
@@ -162,15 +163,15 @@
             state.evacuated = is_evacuated
 
     def find(self, endpoint_id: str) -> EndpointState | None:
-        """Return an endpoint by its id."""
+        """Return the state of an endpoint by its id, None if it is unknown."""
         return self._states.get(endpoint_id)
 
     def entries(self) -> tuple[EndpointEntry, ...]:
-        """Return the endpoints that are listed now."""
+        """Return the entries of the endpoints that are listed now."""
         return tuple(state.entry for state in self._states.values() if state.is_listed)
 
     def staying(self) -> list[EndpointState]:
-        """Return the endpoints that are listed and, as far as is known, do not leave."""
+        """Return the endpoints that are listed and not known to be leaving."""
         now_s = self._clock()
         return [
             state
@@ -179,11 +180,11 @@
         ]
 
     def known_incarnations(self) -> set[EndpointIncarnation]:
-        """Return the incarnations of all endpoints that are listed or still have requests."""
+        """Return the incarnations of all endpoints that are listed or have running requests."""
         return {state.entry.incarnation for state in self._states.values()}
 
     def usual_speed(self, service: str) -> float:
-        """Return how fast an endpoint of a service reads prompts on the average, in tokens/s."""
+        """Return the mean speed at which endpoints of a service read prompts, in tokens/s."""
         speeds = [
             state.speed.tokens_per_s
             for state in self._states.values()
@@ -195,40 +196,40 @@
         """Return the endpoints of a service that may get a request.
 
         Args:
-          tried: Ids of the endpoints that had this request.
+          tried: Ids of the endpoints that were already tried for this request.
         """
         return eligibility.candidates(
             self._states.values(), service, tried, self._clock(), self._drain_s
         )
 
     def may_get_request(self, state: EndpointState, last_resort: bool = False) -> bool:
-        """Return whether an endpoint that was chosen a while ago may still get a request.
+        """Return whether an endpoint that was chosen earlier may still get a request.
 
         Args:
-          last_resort: Whether it was chosen though it leaves, for want of another.
+          last_resort: Whether it was chosen although it is leaving, as there was no other endpoint.
         """
         if self._states.get(state.entry.endpoint_id) is not state:
-            # Another run of the endpoint is listed since then.
+            # The endpoint has been removed or replaced by another incarnation since then.
             return False
         return eligibility.may_get_request(state, self._clock(), self._drain_s, last_resort)
 
     def leaving(self, service: str) -> list[EndpointState]:
-        """Return the endpoints of a service that take no requests but still give what they keep."""
+        """Return the leaving endpoints of a service that still serve cached prompt parts."""
         return [state for state in self._leaving.get(service, ()) if state.reachable]
 
     def avoided(self, service: str) -> list[str]:
-        """Return the ids of a service's endpoints that this instance does not use for now."""
+        """Return the ids of a service's endpoints that this instance currently excludes."""
         return eligibility.avoided(self._states.values(), service, self._clock())
 
     def cold(self) -> list[EndpointState]:
-        """Return the endpoints that are listed and are cold, or may be."""
+        """Return the listed endpoints that are cold or may be cold."""
         now_s = self._clock()
         return [
             state for state in self._states.values() if state.is_listed and state.is_cold(now_s)
         ]
 
     def resting(self, service: str) -> list[EndpointState]:
-        """Return the endpoints of a service that would get requests if they did not rest."""
+        """Return the endpoints of a service that are excluded only because they rest."""
         now_s = self._clock()
         return [
             state
@@ -238,26 +239,26 @@
         ]
 
     def obstacles(self, service: str) -> dict[str, int]:
-        """Return how many endpoints of a service each obstacle stands against, by its name."""
+        """Return how many endpoints of a service are excluded, by the value of the reason."""
         now_s = self._clock()
         states = [each for each in self._states.values() if each.entry.service == service]
         found = Counter(eligibility.obstacle(state, now_s) for state in states)
         return {each.value: found[each] for each in Obstacle if found[each]}
 
     def sends(self, state: EndpointState) -> None:
-        """Note that a request is sent to an endpoint now."""
+        """Record that a request is sent to an endpoint now, which updates its rest, if any."""
         if state.said.rest is not None:
             state.said.rest = rests.after_send(state.said.rest, self._clock())
 
     def heard_leaving(self, incarnation: EndpointIncarnation) -> bool:
-        """Note that an endpoint says in an answer that it leaves; return whether that is new."""
+        """Record an endpoint's statement that it is leaving; return whether that is new."""
         if not self.statements.heard_leaving(incarnation):
             return False
         self._leaving = leaving_by_service(self._states.values())
         return True
 
     def unreachable_endpoints(self) -> list[EndpointState]:
-        """Return the endpoints that a prober has to try again: no connection came up."""
+        """Return the endpoints that the prober has to retry because a connection failed."""
         now_s = self._clock()
         return [
             state
@@ -269,7 +270,7 @@
         ]
 
     def take_notice(self, notice: LoadNotice) -> None:
-        """Apply what this instance or a peer did with a request at an endpoint."""
+        """Apply a load notice of this instance or a peer; ignored for unknown endpoints."""
         state = self._states.get(notice.endpoint_id)
         if state is None:
             return
@@ -286,21 +287,21 @@
                 self.gone(state)
 
     def expire_loads(self) -> None:
-        """Drop loads that are too old: the notice of their end was probably lost."""
+        """Drop loads that are too old, as the notice of their end was probably lost."""
         for state in self._states.values():
             state.expire_loads(self._clock())
 
     def keep_loads_of(self, incarnations: Set[str]) -> None:
-        """Drop the loads of all instances but those that are alive."""
+        """Drop the loads of all instances except the given incarnations, which are alive."""
         for state in self._states.values():
             state.keep_loads_of(incarnations)
 
     def succeeded(self, state: EndpointState) -> None:
-        """Note that an endpoint answered as it should."""
+        """Record that an endpoint answered correctly, which resets its count of failures."""
         state.failures = 0
 
     def failed(self, state: EndpointState) -> bool:
-        """Note that an endpoint failed a request, and return whether it is ejected for that."""
+        """Record that an endpoint failed a request; return whether it is ejected for that."""
         state.failures += 1
         seconds = ejection_s(state.failures)
         if not seconds:
@@ -309,18 +310,18 @@
         return True
 
     def unreachable(self, state: EndpointState) -> None:
-        """Note that no connection to an endpoint came up."""
+        """Record that connecting to an endpoint failed."""
         state.reachable = False
 
     def reached(self, state: EndpointState) -> None:
-        """Note that a connection to an endpoint came up."""
+        """Record that connecting to an endpoint succeeded."""
         if not state.reachable:
             state.perhaps_cold_until_s = self._clock() + COLD_NEWS_S
         state.reachable = True
 
     def gone(self, state: EndpointState) -> None:
-        """Note that another endpoint has the address, so that this one has ended.
+        """Record that an endpoint has ended, as another one now answers at its address.
 
-        It gets no request until a list is installed that still has it.
+        It gets no request until a list is installed that still contains it.
         """
         state.usable_until_s = self._clock()
--- a/packages/springbridge/springbridge/routing/endpoint_state.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state.py
@@ -1,7 +1,7 @@
-"""One endpoint as an instance sees it: its entry, its load, its failures and its prompt cache.
+"""State of one endpoint as seen by an instance: entry, load, failures and prompt cache.
 
-Owns the load: the requests of all instances, as far as their notices arrived. Notices can be lost,
-so a load that is too old is dropped, and so is every load of an instance that is no longer alive:
+Owns the load: the running requests of all instances whose notices arrived. Notices can be lost, so
+a load that is too old is dropped. Every load of an instance that is no longer alive is dropped too:
 nobody would report its end, and it would count as backlog long after the endpoint was done.
 """
 
@@ -15,25 +15,25 @@
 from springbridge.routing.records import EndpointEntry
 from springbridge.statements.statement_table import EndpointStatements
 
-# Value of EndpointState.usable_until_s for an endpoint on the list.
+# EndpointState.usable_until_s of an endpoint that is on the list.
 LISTED = float("inf")
-# Seconds after which a request no longer counts as running. It bounds how long a lost notice of an
-# end makes an endpoint look fuller than it is.
+# Seconds after which a request no longer counts as running. It bounds how long an endpoint looks
+# fuller than it is after the notice of a request's end was lost.
 LONGEST_LOAD_S = 20.0
-# Seconds after which a prompt no longer counts as unread. It bounds the same for the backlog, and
-# must stay below the limit above: a prompt is read before its request ends.
+# Seconds after which a prompt no longer counts as unread. It bounds the same for the backlog and
+# must stay below LOAD_EXPIRY_S: a prompt is read before its request ends.
 LONGEST_READ_S = 8.0
 assert LONGEST_READ_S < LONGEST_LOAD_S
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A request that an endpoint has.
+    """A request running at an endpoint.
 
     Attributes:
-      prefill_tokens: Prompt tokens that it probably has still to read; 0 once it has read them.
-      since_s: When this instance learnt of it, on its monotonic clock.
-      is_short: Whether its prompt counts as short.
+      prefill_tokens: Prompt tokens that the endpoint probably has still to read; 0 once read.
+      since_s: When this instance learnt of the request, on its monotonic clock.
+      is_short: Whether the prompt counts as short.
     """
 
     prefill_tokens: int
@@ -43,23 +43,23 @@
 
 @dataclass
 class EndpointState:
-    """One endpoint as this instance sees it.
+    """State of one endpoint as seen by this instance. Moments are on the monotonic clock.
 
     Attributes:
-      loads: Its requests by attempt id, those of all instances as far as notices arrived.
-      prefill_tokens: Prompt tokens of those that it has still to read.
-      short: How many of its requests have a short prompt, and what such prompts bring to read.
-      long: The same of long prompts.
-      speed: How fast it reads prompts.
-      failures: Failures in a row.
-      ejected_until_s: Before this moment it gets a request only if there is no other endpoint.
+      loads: Running requests of all instances whose notices arrived, by attempt id.
+      prefill_tokens: Prompt tokens of these that the endpoint has still to read.
+      short: Number of running requests with a short prompt, and the rate of their prompt tokens.
+      long: The same for long prompts.
+      speed: Estimate of how fast the endpoint reads prompts.
+      failures: Consecutive failures.
+      ejected_until_s: Until then it gets a request only if there is no other endpoint.
       reachable: Whether the last attempt to connect succeeded; if not, it gets no request.
-      usable_until_s: When it may get its last request: LISTED, or a moment if it is on the list no
-        more or another endpoint has its address.
-      perhaps_cold_until_s: Before this moment it may be cold though its entry does not say so yet.
-      evacuated: Whether the operators evacuate its failure domain; it gets no request then.
-      cache: Which prompt parts it probably keeps.
-      said: What it has said of itself in answers.
+      usable_until_s: Until when it may get requests: LISTED, or a moment once it is no longer on
+        the list or another endpoint has its address.
+      perhaps_cold_until_s: Until then it may be cold although its entry does not say so yet.
+      evacuated: Whether its failure domain is evacuated; if so, it gets no request.
+      cache: Estimate of which prompt parts it has cached.
+      statements: What it has stated about itself in answers.
     """
 
     entry: EndpointEntry
@@ -79,30 +79,30 @@
 
     @property
     def is_listed(self) -> bool:
-        """Return whether it is on the list and was not found gone since."""
+        """Return whether it is on the list and was not found to have ended since."""
         return self.usable_until_s == LISTED
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether its entry, or it itself in an answer, says that it leaves."""
+        """Return whether its entry, or one of its own answers, says that it is leaving."""
         return self.entry.draining or self.said.leaving.is_certain
 
     def is_cold(self, now_s: float) -> bool:
-        """Return whether it is cold, or may be."""
+        """Return whether it is or may be cold."""
         return self.entry.cold or self.perhaps_cold_until_s > now_s
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests it has now."""
+        """Return the number of running requests."""
         return len(self.loads)
 
     @property
     def backlog_s(self) -> float:
-        """Return how many seconds it takes to read the prompts that are still unread."""
+        """Return the estimated seconds to read the prompts that are still unread."""
         return self.prefill_tokens / self.speed.tokens_per_s
 
     def started(self, notice: LoadNotice, now_s: float) -> None:
-        """Add a request to the load; a second notice of the same attempt changes nothing."""
+        """Add a request to the load; a second notice of the same attempt is ignored."""
         if notice.attempt_id in self.loads:
             return
         kept = max(self.cache.kept_tokens(notice.prompt_parts), notice.fetched_tokens)
@@ -116,12 +116,12 @@
             self.speed.has_work(now_s)
 
     def read(self, attempt_id: str, now_s: float) -> None:
-        """Note that the endpoint has read the prompt of an attempt."""
+        """Record that the endpoint has read the prompt of an attempt."""
         self.speed.was_read(self._drop_prefill(attempt_id), now_s)
         self._note_idle()
 
     def ended(self, attempt_id: str) -> None:
-        """Drop an attempt from the load, whether its prompt was read or not."""
+        """Remove an attempt from the load, whether its prompt was read or not."""
         self._drop_prefill(attempt_id)
         load = self.loads.pop(attempt_id, None)
         if load is not None:
@@ -129,7 +129,7 @@
         self._note_idle()
 
     def expire_loads(self, now_s: float) -> None:
-        """Drop loads that are too old: the notice of their end was probably lost."""
+        """Drop loads that are too old, as the notice of their end was probably lost."""
         for attempt_id, load in list(self.loads.items()):
             if load.since_s < now_s - LONGEST_LOAD_S:
                 self.ended(attempt_id)
@@ -138,22 +138,22 @@
         self._note_idle()
 
     def keep_loads_of(self, incarnations: Set[str]) -> None:
-        """Drop the loads of all instances but those that are alive."""
+        """Drop the loads of all instances except the given incarnations, which are alive."""
         for attempt_id in list(self.loads):
             if incarnation_of(attempt_id) not in incarnations:
                 self.ended(attempt_id)
 
     def _prompt_load(self, load: Load) -> PromptLoad:
-        """Return the record that counts a request, by the size of its prompt."""
+        """Return the PromptLoad that counts a request, by the size of its prompt."""
         return self.short if load.is_short else self.long
 
     def _note_idle(self) -> None:
-        """End the sample of the reading speed if no prompt is unread."""
+        """End the sample of the reading speed if no prompt is unread any more."""
         if not self.prefill_tokens:
             self.speed.is_idle()
 
     def _drop_prefill(self, attempt_id: str) -> int:
-        """Count an attempt's prompt as read and return the tokens that were unread."""
+        """Mark an attempt's prompt as read; return the tokens that were still unread."""
         load = self.loads.get(attempt_id)
         if load is None or not load.prefill_tokens:
             return 0
@@ -163,7 +163,7 @@
 
 
 def leaving_by_service(states: Iterable[EndpointState]) -> dict[str, list[EndpointState]]:
-    """Return the endpoints that are listed and leave, by service."""
+    """Return the listed endpoints that are leaving, by service."""
     found: dict[str, list[EndpointState]] = {}
     for state in states:
         if state.is_leaving and state.is_listed:
