--- a/packages/springbridge/springbridge/routing/giving_up.py
+++ b/packages/springbridge/springbridge/routing/giving_up.py
@@ -1,12 +1,12 @@
-"""Giving up: the answer to a request that no further endpoint gets.
-
-What is decided: the problem that ends the request, and what its caller gets.
-Inputs: the request's route, its attempts so far and what stopped them; times in seconds.
-Outcome: a `Problem`, whose code says whether the request may have run, and a `FinalAnswer`.
-Why: a caller may send a request anew only if it knows that no endpoint has run it, so a refusal
-promises that and names a time to come back, and every other code promises nothing. An answer that
-has begun is cut off, so that a part never looks whole. An endpoint's own failure tells the caller
-more than ours.
+"""Giving up: the final answer to a request that is not sent to a further endpoint.
+
+Decides which problem ends the request and which answer its caller gets.
+Inputs: the request's route, its attempts so far and what ended them; times in seconds.
+Result: a `Problem`, whose code says whether the request may have run, and a `FinalAnswer`.
+A caller may safely repeat a request only if no endpoint has run it. A refusal guarantees that and
+names a Retry-After time; all other codes guarantee nothing. An answer that has begun is cut off, so
+that a partial answer never looks complete. An endpoint's own error answer tells the caller more
+than the router's.
 """
 
 from dataclasses import dataclass
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RatesSpent:
-    """Why a request is refused: its endpoints have spent the rates that they name.
+    """Refusal because the endpoints' own rate limits are exhausted.
 
     Attributes:
-      endpoints: How many have.
-      per_s: Requests a second that these take from all instances together.
-      retry_after_s: When to come back, in seconds.
+      endpoints: Number of these endpoints.
+      per_s: Requests a second that they accept from all instances together.
+      retry_after_s: Retry-After in seconds.
     """
 
     endpoints: int
@@ -42,11 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AllRest:
-    """Why a request is refused: its endpoints rest, as they have asked this instance to let them.
+    """Refusal because all endpoints rest, as they have asked for a pause without requests.
 
     Attributes:
-      endpoints: How many do.
-      retry_after_s: When to come back, in seconds.
+      endpoints: Number of resting endpoints.
+      retry_after_s: Retry-After in seconds.
     """
 
     endpoints: int
@@ -54,7 +54,11 @@
 
 
 class FinalAnswer(Enum):
-    """What the caller of a request that is given up gets."""
+    """What the caller gets when its request is given up.
+
+    CUT_OFF ends an answer that has begun, HELD_FAILURE passes on an endpoint's own error answer
+    that was held back, and REFUSAL is the router's own error answer.
+    """
 
     CUT_OFF = auto()
     HELD_FAILURE = auto()
@@ -62,12 +66,12 @@
 
 
 def final_answer(problem: Problem, answer_started: bool, failure_held: bool) -> FinalAnswer:
-    """Return what the caller gets.
+    """Return which kind of final answer the caller gets.
 
     Args:
       problem: Why the request is given up.
-      answer_started: Whether the caller has got the beginning of an answer.
-      failure_held: Whether an endpoint's own failure was held back.
+      answer_started: Whether the caller has received the beginning of an answer.
+      failure_held: Whether an endpoint's own error answer was held back.
     """
     if answer_started:
         return FinalAnswer.CUT_OFF
@@ -77,7 +81,7 @@
 
 
 def holds_failure(route: Route, status: int) -> bool:
-    """Return whether an endpoint's answer is held back, since another endpoint may do better.
+    """Return whether an endpoint's answer is held back because another endpoint may succeed.
 
     Args:
       status: HTTP status of the endpoint's answer.
@@ -86,14 +90,14 @@
 
 
 def when_overloaded(overload: Overload) -> Problem:
-    """Return the refusal of a request whose endpoints all have too much for its priority."""
+    """Return the refusal of a request whose endpoints are all overloaded for its priority."""
     waits = f"backlog {overload.backlog_s:.2f} s, longest wait {overload.longest_wait_s:.2f} s"
     detail = f"engines: least {waits}, least in flight {overload.in_flight}"
     return Problem(Code.OVERLOADED, detail, retry_after_s=overload.retry_after_s)
 
 
 def after_failed_attempt(route: Route, attempts: Attempts, end: End) -> Problem:
-    """Return the problem of a request whose last attempt failed and that may not be sent again."""
+    """Return the problem of a request whose last attempt failed and that may not be retried."""
     if attempts.may_have_run:
         return Problem(Code.ENGINE_FAILED, end.value)
     return _turned_away(route, end.value)
@@ -106,13 +110,13 @@
     if attempts.sends:
         return _turned_away(route, "no further engine")
     if attempts.busy:
-        # A connection is free again within the time of an answer, long before endpoints restart.
+        # A connection becomes free as soon as an answer ends, long before an endpoint restarts.
         return _turned_away(route, "connections in use")
     return Problem(Code.NO_ENGINE, "no engine", retry_after_s=while_endpoints_restart())
 
 
 def when_rates_spent(route: Route, attempts: Attempts, spent: RatesSpent) -> Problem:
-    """Return the problem of a request for which there are only endpoints that take no more now."""
+    """Return the problem of a request if all remaining endpoints have exhausted their rates."""
     detail = f"rates spent: {spent.endpoints} engines take {spent.per_s:g} a second"
     if attempts.may_have_run:
         return Problem(Code.ENGINE_FAILED, detail)
@@ -120,7 +124,7 @@
 
 
 def when_all_rest(route: Route, attempts: Attempts, rest: AllRest) -> Problem:
-    """Return the problem of a request for which there are only endpoints that rest."""
+    """Return the problem of a request if all remaining endpoints rest."""
     detail = f"{rest.endpoints} engines rest"
     if attempts.may_have_run:
         return Problem(Code.ENGINE_FAILED, detail)
@@ -128,13 +132,13 @@
 
 
 def in_quarantine(attempts: Attempts, crashes: int, wait_s: float) -> Problem:
-    """Return the problem of a request that is kept from endpoints, as it has ended several.
+    """Return the problem of a request in quarantine because several endpoints crashed under it.
 
-    The caller is told when it is tried again: before, every try would be refused. A request that
-    was sent in this try may have run, and its caller is promised nothing.
+    Retry-After is the time of its next trial: earlier tries would all be refused. A request that
+    was already sent in this try may have run, so its caller gets no guarantee.
 
     Args:
-      crashes: How many endpoints ended under it.
+      crashes: Number of endpoints that crashed under it.
       wait_s: Seconds until its next trial.
     """
     detail = f"{crashes} engines ended under it"
@@ -144,7 +148,7 @@
 
 
 def while_tried(attempts: Attempts) -> Problem:
-    """Return the problem of a request that has waited for the end of a trial for too long."""
+    """Return the problem of a request that waited too long for another request's trial to end."""
     detail = "another request like it is on trial"
     if attempts.may_have_run:
         return Problem(Code.ENGINE_FAILED, detail)
@@ -152,21 +156,21 @@
 
 
 def longest_hold_s(route: Route) -> float:
-    """Return for how long a request waits for the end of a trial, in seconds.
+    """Return how long a request waits for the end of another request's trial, in seconds.
 
-    Protects callers of a page that many ask for: once one of them is served, all are. It is the
-    time that the route aims at, after which an answer is late anyway.
+    When many callers send the same request, all of them are served once one trial succeeds. The
+    limit is the route's target, after which an answer is late anyway.
     """
     return route.target_s
 
 
 def at_deadline(route: Route, attempts: Attempts) -> Problem:
-    """Return the problem of a request whose time is up."""
+    """Return the problem of a request that has reached its deadline."""
     if attempts.may_have_run:
         return Problem(Code.OUTCOME_UNKNOWN, "deadline")
     return _turned_away(route, "deadline")
 
 
 def _turned_away(route: Route, detail: str) -> Problem:
-    """Return the refusal of a request that endpoints exist for, but that none has run."""
+    """Return the refusal of a request that no endpoint has run although there are endpoints."""
     return Problem(Code.NO_ENGINE, detail, retry_after_s=when_endpoint_full(route.target_s))
