--- a/packages/springbridge/springbridge/routing/ejection.py
+++ b/packages/springbridge/springbridge/routing/ejection.py
@@ -1,24 +1,23 @@
-"""How long an endpoint is ejected after failures in a row.
+"""Outlier ejection: how long an endpoint is ejected after consecutive failures.
 
-Decided: whether an endpoint that has just failed a request is ejected, and for how long.
-Inputs: its failures in a row, as a count; any answer that is delivered resets the count.
-Outcome: seconds, 0 for no ejection. An ejected endpoint gets a request only if its service has no
-other (eligibility.py), and a further failure ejects it for longer.
-Why: an endpoint that accepts connections but answers badly would otherwise look idle and attract
+Input: the number of consecutive failures; any delivered answer resets it.
+Result: seconds, 0 for no ejection. An ejected endpoint gets a request only if its service has no
+other (eligibility.py), and each further failure ejects it for longer.
+An endpoint that accepts connections but answers with errors would otherwise look idle and attract
 every request.
 """
 
-# Failures in a row. One or two of them eject nobody.
+# Consecutive failures from which an endpoint is ejected; one or two do not eject it.
 FAILURES_TO_EJECT = 3
-# Seconds of the first ejection. It bounds how long an endpoint that works again stays unused, since
-# the next request after it is the probe.
+# Duration of the first ejection in seconds. It bounds how long a recovered endpoint stays unused,
+# since the first request afterwards serves as the probe.
 EJECT_S = 1.0
-# Doublings at the most. The longest ejection lasts 4 s.
+# Maximum number of doublings; the longest ejection lasts 4 s.
 MOST_DOUBLINGS = 2
 
 
 def ejection_s(failures: int) -> float:
-    """Return for how many seconds an endpoint is ejected after so many failures in a row."""
+    """Return the ejection time in seconds after this many consecutive failures, 0 for none."""
     beyond = failures - FAILURES_TO_EJECT
     if beyond < 0:
         return 0.0
--- a/packages/springbridge/springbridge/routing/overload.py
+++ b/packages/springbridge/springbridge/routing/overload.py
@@ -1,13 +1,13 @@
-"""When a request is refused at once because its endpoints have too much to do.
-
-Decided: whether a request with a prompt is refused before its first attempt.
-Inputs: for each endpoint that may get it the requests and slots, and the backlog in seconds; the
-priority of its route, 0 most urgent; the target of its route in seconds.
-Outcome: None, or an Overload with what decided, while every endpoint is too full or too far behind
-for that priority. The least urgent are refused first.
-Why: refuse early. An endpoint that runs too many requests finishes none: each token takes longer,
-and all miss their deadlines together. Past a certain backlog the answer misses its deadline and
-delays everyone behind it.
+"""Load shedding: refuses a request at once if all of its endpoints are overloaded.
+
+Decides whether a request with a prompt is refused before its first attempt.
+Inputs: running requests, slots and backlog in seconds of each eligible endpoint; the route's
+priority, 0 most urgent; the route's target in seconds.
+Result: None, or an Overload with the figures that decided, if every endpoint has too many requests
+or too long a backlog for that priority. The least urgent requests are refused first.
+Refusing early is better than late. An endpoint that runs too many requests finishes none of them:
+each token takes longer, and all miss their deadlines together. Behind too long a backlog, an answer
+misses its deadline and delays all requests after it.
 """
 
 import itertools
@@ -18,22 +18,22 @@
 from springbridge.routing.records import Demand
 from springbridge.routing.retry_after import after_overload
 
-# By priority: the share of an endpoint's slots in use at which it is full.
+# Share of an endpoint's slots in use from which it counts as full, by priority.
 FULLEST_BY_PRIORITY = (1.5, 0.75, 0.5)
 
 
 @dataclass(frozen=True, slots=True)
 class WaitLimit:
-    """The longest backlog behind which a request of a priority is still sent.
+    """Longest backlog behind which a request of some priority is still sent.
 
-    It follows the target of the request's route within bounds. The bounds of different priorities
-    do not overlap, so that a more urgent request never waits less than a less urgent one, whatever
-    their targets.
+    It is proportional to the target of the request's route, within bounds. The bounds of different
+    priorities do not overlap, so the limit of a more urgent request is never below that of a less
+    urgent one, whatever their targets.
 
     Attributes:
-      targets: The limit in multiples of the target.
-      least_s: Lower bound in seconds.
-      most_s: Upper bound in seconds.
+      target_multiple: The limit in multiples of the target.
+      min_s: Lower bound in seconds.
+      max_s: Upper bound in seconds.
     """
 
     targets: float
@@ -41,11 +41,11 @@
     most_s: float
 
     def seconds(self, target_s: float) -> float:
-        """Return the limit for a route with a target."""
+        """Return the limit in seconds for a route with this target in seconds."""
         return min(self.most_s, max(self.least_s, self.targets * target_s))
 
 
-# By priority.
+# Limits on the backlog by priority, most urgent first.
 WAIT_LIMITS = (
     WaitLimit(1.0, 1.2, 60.0),
     WaitLimit(0.5, 0.6, 1.2),
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """Why a request is refused: its endpoints have too much to do.
+    """The figures for which a request is refused because of overload.
 
-    It travels from coordinators to instances as a list of its fields, in this order.
+    Coordinators send it to instances as a list of its fields, in this order.
 
     Attributes:
-      backlog_s: Seconds that the endpoint with the shortest backlog still has to read.
+      backlog_s: Shortest backlog of any endpoint, in seconds of reading.
       longest_wait_s: Longest backlog in seconds behind which the request would be sent.
-      in_flight: Requests at the endpoint with the fewest.
+      in_flight: Smallest number of running requests at any endpoint.
     """
 
     backlog_s: float
@@ -74,15 +74,15 @@
 
     @property
     def retry_after_s(self) -> float:
-        """Return when to come back: once the backlog is short enough, and a burst may be over."""
+        """Return Retry-After in seconds: the backlog is short enough then, a burst may be over."""
         return after_overload(self.backlog_s, self.longest_wait_s)
 
 
 def overload(states: Sequence[EndpointState], demand: Demand) -> Overload | None:
-    """Return why a request is refused, or None if it is not.
+    """Return the overload for which a request is refused, or None if it is not refused.
 
     Args:
-      states: The endpoints that may get it; having none is not an overload.
+      states: The eligible endpoints; having none is not an overload.
     """
     if not states:
         return None
@@ -96,22 +96,22 @@
 
 
 def longest_wait_s(demand: Demand) -> float:
-    """Return the longest backlog in seconds behind which a request is still sent."""
+    """Return the longest backlog in seconds behind which this request is still sent."""
     limit = WAIT_LIMITS[_rank(demand.priority, len(WAIT_LIMITS))]
     return limit.seconds(demand.target_s)
 
 
 def _is_full(state: EndpointState, demand: Demand) -> bool:
-    """Return whether an endpoint has too many requests to take one of this priority."""
+    """Return whether an endpoint runs too many requests to take one of this priority."""
     fullest = FULLEST_BY_PRIORITY[_rank(demand.priority, len(FULLEST_BY_PRIORITY))]
     return state.in_flight >= fullest * state.entry.slots
 
 
 def _is_behind(state: EndpointState, demand: Demand) -> bool:
-    """Return whether an endpoint would begin to read the prompt too late."""
+    """Return whether an endpoint's backlog is too long for the request."""
     return state.backlog_s > longest_wait_s(demand)
 
 
 def _rank(priority: int, ranks: int) -> int:
-    """Return the rank of a priority; all beyond the last rank count as the last."""
+    """Return the index of a priority, clamped to the available ranks."""
     return min(max(priority, 0), ranks - 1)
