--- a/packages/springbridge/springbridge/routing/selection.py
+++ b/packages/springbridge/springbridge/routing/selection.py
@@ -1,11 +1,12 @@
-"""The endpoint for one attempt of a request, or why there is none.
+"""Selection: the endpoint for one attempt of a request, or why there is none.
 
-Decided: a choice, a refusal for overload, or neither if no endpoint may get the request.
-Inputs: the registry, the request's demand, the ids of the endpoints that had it, and who chooses.
-Outcome: a Selection. Overload is checked before the first attempt only: later the request may have
-run, and a refusal would promise the caller that it has not.
-Why: one order of steps for an instance that chooses itself and for a coordinator that chooses for
-others: overload.py, then eligibility.py, then endpoint_choice.py. The numbers stand there.
+Combines overload.py, eligibility.py and endpoint_choice.py in this order, both for an instance that
+chooses itself and for a coordinator that chooses for others.
+Inputs: the registry, the request's demand, the ids of the endpoints already tried, and the function
+that chooses.
+Result: a Selection with a choice, a refusal for overload, or neither if no endpoint is eligible.
+Overload is checked only before the first attempt: later the request may have run, and a refusal
+would guarantee to the caller that it has not.
 """
 
 from collections.abc import Collection
@@ -20,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """What was found for a request.
+    """Result of the selection for one attempt.
 
     Attributes:
-      choice: The endpoint, or None if no endpoint may get the request.
-      overload: Why the request is refused if its endpoints have too much to do, else None.
+      choice: The chosen endpoint, or None if no endpoint is eligible or the request is refused.
+      overload: The overload for which the request is refused, else None.
     """
 
     choice: Choice | None
@@ -39,14 +40,15 @@
     avoided: Collection[str] = (),
     held_back: Collection[str] = (),
 ) -> Selection:
-    """Return the endpoint for the next attempt.
+    """Return the endpoint for the next attempt, or a refusal.
 
     Args:
-      tried: Ids of the endpoints that had the request.
-      avoided: Ids of the endpoints that another instance, which asks, cannot use. They count in the
-        check for overload.
-      held_back: Ids of the endpoints whose rate is spent. They count nowhere: what they could take
-        beside their rate is of no use.
+      tried: Ids of the endpoints that were already tried.
+      choose: Chooses among the eligible endpoints.
+      avoided: Ids of the endpoints that the requesting instance excludes, if this one chooses for
+        another. They still count in the check for overload.
+      held_back: Ids of the endpoints whose rate is exhausted. They do not count in the check for
+        overload either, as their free capacity cannot be used.
     """
     if demand.prompt_parts and not tried:
         refusal = overload(registry.candidates(demand.service, held_back), demand)
@@ -60,7 +62,7 @@
 
 
 def start_notice(choice: Choice, demand: Demand, attempt_id: str) -> LoadNotice:
-    """Return the notice that an attempt starts at the chosen endpoint."""
+    """Return the load notice that reports the start of an attempt at the chosen endpoint."""
     return LoadNotice(
         LoadPhase.STARTED,
         attempt_id,
