--- a/packages/springbridge/springbridge/routing/reading_speed.py
+++ b/packages/springbridge/springbridge/routing/reading_speed.py
@@ -1,47 +1,46 @@
-"""How fast an endpoint reads prompts, learnt while it has a backlog.
+"""Estimate of how fast an endpoint reads prompts, measured while it has a backlog.
 
-Owns a running estimate in tokens a second, by which a backlog in tokens becomes a wait in seconds
-(overload.py). The operators' configuration does not name the speed, endpoints of one service
-differ, and requests that run beside a prompt slow it down. Only tokens that were read while more
-were waiting count: an endpoint that waits for work shows nothing of its speed.
+Owns a running estimate in tokens per second, which converts a backlog in tokens to a wait in
+seconds (overload.py). The operators' configuration does not contain the speed, endpoints of one
+service differ, and other running requests slow down the reading of a prompt. Only tokens that are
+read during a backlog count: an idle endpoint reveals nothing about its speed.
 """
 
-# Estimate before the first sample, in tokens a second. It fitted the logs of a run in which two
-# endpoints had a backlog for long.
+# Estimate before the first sample, in tokens per second; typical of endpoints with a long backlog.
 USUAL_TOKENS_PER_S = 40_000.0
-# Lowest sample that counts, in tokens a second; it limits the harm of late or lost notices. A tenth
-# of the usual speed.
+# Lower bound of a sample in tokens per second, a tenth of the usual speed. It limits the error
+# caused by late or lost notices.
 LEAST_TOKENS_PER_S = USUAL_TOKENS_PER_S / 10
-# Highest sample that counts, for the same reason. Ten times the usual speed.
+# Upper bound of a sample for the same reason, ten times the usual speed.
 MOST_TOKENS_PER_S = USUAL_TOKENS_PER_S * 10
-# Tokens of a sample, about half a second of reading. The fixed cost of a single prompt weighs
-# little.
+# Minimum tokens of a sample, about half a second of reading, so that the fixed cost of a single
+# prompt has little weight.
 LEAST_SAMPLE_TOKENS = 20_000
-# Weight of a new sample against the estimate so far. With a half, an endpoint that turns slow shows
-# within a few prompts.
+# Weight of a new sample against the estimate so far. With a half, an endpoint that becomes slow is
+# recognized within a few prompts.
 NEW_SHARE = 0.5
 
 
 class ReadingSpeed:
-    """A running estimate for one endpoint. Moments are seconds of the monotonic clock.
+    """Running estimate for one endpoint. Times are seconds of the monotonic clock.
 
     Attributes:
-      tokens_per_s: The estimate.
+      tokens_per_s: The current estimate.
     """
 
     def __init__(self) -> None:
-        """Start with the usual speed."""
+        """Start with USUAL_TOKENS_PER_S and no sample."""
         self.tokens_per_s = USUAL_TOKENS_PER_S
         self._since_s: float | None = None
         self._tokens = 0
 
     def has_work(self, now_s: float) -> None:
-        """Note that a prompt waits to be read; a sample begins unless one is being taken."""
+        """Start a sample because a prompt waits to be read, unless one is in progress."""
         if self._since_s is None:
             self._begin(now_s)
 
     def was_read(self, tokens: int, now_s: float) -> None:
-        """Note that a prompt of so many unread tokens has been read."""
+        """Add the tokens of a prompt that has been read to the sample, if one is in progress."""
         if self._since_s is None:
             return
         self._tokens += tokens
@@ -50,15 +49,15 @@
             self._begin(now_s)
 
     def is_idle(self) -> None:
-        """Note that no prompt waits, which ends the sample."""
+        """Discard the sample in progress because no prompt is waiting."""
         self._since_s = None
 
     def _begin(self, now_s: float) -> None:
-        """Begin a sample."""
+        """Begin an empty sample."""
         self._since_s = now_s
         self._tokens = 0
 
     def _take(self, sample: float) -> None:
-        """Take a sample in tokens a second into the estimate."""
+        """Include a sample in tokens per second in the estimate."""
         bounded = min(MOST_TOKENS_PER_S, max(LEAST_TOKENS_PER_S, sample))
         self.tokens_per_s += NEW_SHARE * (bounded - self.tokens_per_s)
