--- a/packages/springbridge/springbridge/routing/load_notices.py
+++ b/packages/springbridge/springbridge/routing/load_notices.py
@@ -1,9 +1,9 @@
-"""Notices by which instances tell each other of their requests at endpoints.
+"""Load notices: messages by which instances inform their peers of their requests at endpoints.
 
-An endpoint's own report would be late and cost a call. The instance that sends a request knows at
-once when it starts, when its prompt has been read and when it ends, and a notice of about a hundred
-bytes takes that to its peers within milliseconds. Notices can be lost. They only improve the choice
-of endpoint, and a load whose end is not reported expires (endpoint_state.py).
+A report by the endpoint itself would be late and cost a call. The instance that sends a request
+knows at once when it starts, when its prompt has been read and when it ends, and a notice of about
+a hundred bytes reports this to its peers within milliseconds. Notices can be lost: they only
+improve the choice of endpoint, and a load whose end is not reported expires (endpoint_state.py).
 """
 
 from dataclasses import dataclass
@@ -11,8 +11,8 @@
 
 from springbridge.routing.records import EndpointEntry, PromptPart
 
-# Between incarnation and count in an attempt id. Attempt ids travel between instances, so that all
-# instances of a mixed fleet must agree on it.
+# Separates incarnation and count in an attempt id. Attempt ids are sent to peers, so instances of
+# all releases in a fleet must agree on it.
 NAME_SEPARATOR = "/"
 
 
@@ -20,21 +20,22 @@
     """Return an id for an attempt of an instance, unique in the fleet.
 
     Args:
+      incarnation: Incarnation of the instance.
       count: Number of the attempt among those of this incarnation.
     """
     return f"{incarnation}{NAME_SEPARATOR}{count}"
 
 
 def incarnation_of(attempt_id: str) -> str:
-    """Return the incarnation of the instance that makes an attempt."""
+    """Return the incarnation of the instance that made an attempt, as contained in its id."""
     return attempt_id.partition(NAME_SEPARATOR)[0]
 
 
 class LoadPhase(IntEnum):
-    """What a notice reports. The numbers are on the wire and keep their meaning.
+    """What a notice reports. The numbers are sent to peers and must not change.
 
     STARTED, READ and ENDED are phases of a request: it was sent, the endpoint has read its prompt,
-    it is over. UNREACHED and GONE are about the endpoint: no connection came up, or another
+    the request has ended. UNREACHED and GONE concern the endpoint: connecting failed, or another
     endpoint has its address.
     """
 
@@ -51,12 +52,12 @@
 
     Attributes:
       attempt_id: Id of the attempt, unique in the fleet; "" with UNREACHED and GONE.
-      born_ms: Start of the endpoint's process that the notice is about, if it is known; only with
-        UNREACHED and GONE. A process that started later is not concerned.
       prompt_tokens: Length of the prompt; only with STARTED.
-      prompt_parts: Parts of the prompt, which the endpoint will keep; only with STARTED.
-      fetched_tokens: Tokens of the prompt that the endpoint to fetch from keeps; 0 if there is
-        none, and only with STARTED.
+      prompt_parts: Parts of the prompt, which the endpoint will cache; only with STARTED.
+      fetched_tokens: Prompt tokens that the source endpoint of a fetch has cached; 0 if nothing is
+        fetched; only with STARTED.
+      born_ms: Start time of the endpoint process that the notice concerns, if known; only with
+        UNREACHED and GONE. The notice does not apply to a process that started later.
     """
 
     phase: LoadPhase
@@ -69,10 +70,10 @@
 
 
 def endpoint_notice(phase: LoadPhase, entry: EndpointEntry) -> LoadNotice:
-    """Return a notice about an endpoint itself, UNREACHED or GONE."""
+    """Return a notice that concerns an endpoint rather than a request: UNREACHED or GONE."""
     return LoadNotice(phase, "", entry.endpoint_id, born_ms=entry.born_ms)
 
 
 def is_about(notice: LoadNotice, entry: EndpointEntry) -> bool:
-    """Return whether a notice may be about the process that is listed now."""
+    """Return whether a notice may concern the listed process: start times equal or unknown."""
     return None in (notice.born_ms, entry.born_ms) or notice.born_ms == entry.born_ms
--- a/packages/springbridge/springbridge/routing/prefix_cache.py
+++ b/packages/springbridge/springbridge/routing/prefix_cache.py
@@ -1,9 +1,9 @@
-"""An estimate of which prompt parts an endpoint keeps in its prefix cache.
+"""Estimate of which prompt parts an endpoint has in its prefix cache.
 
 Owns, for one endpoint, the parts of the prompts that were sent there, as far as notices of them
-arrived. A part is kept only together with all parts before it, so that it is stored under the whole
-prefix that ends in it. When the capacity is used up, the least recently used parts are dropped, as
-at the endpoint. The estimate may be wrong; only the choice of endpoint relies on it.
+arrived. A part is cached only together with all parts before it, so its key is the whole prefix
+that ends with it. When the capacity is exceeded, the least recently used parts are evicted, as at
+the endpoint. The estimate may be wrong; only the choice of endpoint relies on it.
 """
 
 from collections import OrderedDict
@@ -18,8 +18,8 @@
     """A prompt from its beginning to the end of one of its parts.
 
     Attributes:
-      name: The ids of its parts in order.
-      last_tokens: Tokens of its last part.
+      name: Cache key: the ids of its parts in order.
+      last_tokens: Length of its last part in tokens.
     """
 
     name: str
@@ -27,24 +27,24 @@
 
 
 class PrefixCache:
-    """The parts that an endpoint probably keeps, the least recently used first.
+    """The prompt parts that an endpoint has probably cached, in LRU order.
 
     Attributes:
-      capacity: Tokens that it can keep; nothing is kept with 0.
+      capacity: Capacity of the cache in tokens; with 0, nothing is recorded.
     """
 
     def __init__(self, capacity: int = 0) -> None:
-        """Start empty, with a capacity in tokens."""
+        """Create an empty cache with a capacity in tokens."""
         self.capacity = capacity
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
 
     def kept_tokens(self, parts: tuple[PromptPart, ...]) -> int:
-        """Return how many tokens from the beginning of a prompt are probably kept."""
+        """Return how many tokens from the beginning of a prompt are probably cached."""
         return self.kept_of(prefixes(parts))
 
     def kept_of(self, prompt: Sequence[Prefix]) -> int:
-        """Return the same for a prompt that is looked up at many endpoints."""
+        """Return the same for the prefixes of a prompt, computed once for many endpoints."""
         tokens = 0
         for prefix in prompt:
             if prefix.name not in self._parts:
@@ -53,7 +53,7 @@
         return tokens
 
     def note(self, parts: tuple[PromptPart, ...]) -> None:
-        """Note that the endpoint gets a prompt and keeps it."""
+        """Record that the endpoint gets a prompt and caches its parts."""
         if not self.capacity:
             return
         for prefix in reversed(prefixes(parts)):
