--- a/packages/springbridge/springbridge/routing/evacuations.py
+++ b/packages/springbridge/springbridge/routing/evacuations.py
@@ -1,13 +1,11 @@
-"""Which failure domains the operators evacuate.
-
-Decided: the failure domains whose endpoints must get nothing.
-Inputs: readings of the operators' evacuations, each with the store's stamp; the moment in seconds
-of the instance's monotonic clock.
-Outcome: the names of the domains.
-Why: an evacuation lasts until the operators end it, at every instance, also at those that do not
-read the store. Readings are therefore passed on, and the later stamp wins whoever tells it. A store
-that comes back from an older copy may have lost an evacuation that was acknowledged. Nobody ended
-it, so it lasts until the operators have had time to write it again.
+"""Evacuations: the failure domains whose endpoints must get no requests.
+
+Inputs: readings of the operators' evacuations, each with the store's stamp; the current time in
+seconds of the instance's monotonic clock.
+An evacuation lasts until the operators end it, at every instance, also at those that do not read
+the store. Therefore readings are passed on to peers, and the latest stamp wins whatever its source.
+A store that was restored from an older copy may have lost an acknowledged evacuation. Nobody ended
+that evacuation, so it stays in force until the operators have had time to write it again.
 """
 
 from collections.abc import Callable
@@ -15,7 +13,7 @@
 
 from springbridge.store_stamp import era_of
 
-# Seconds for which an evacuation lasts that an older copy of the store does not have.
+# Seconds for which an evacuation stays in force that the restored copy of the store lacks.
 HOLD_LOST_S = 60.0
 # Stamp before the first reading.
 NOTHING_READ = -1
@@ -26,8 +24,10 @@
     """The operators' evacuations at a stamp of the store.
 
     Attributes:
-      lost_for_s: Evacuations that an older copy of the store does not have, and for how many
-        seconds they last.
+      stamp: Era and revision of the store; later readings have a higher stamp.
+      evacuated: Evacuated failure domains.
+      lost_for_s: Evacuations that the restored copy of the store lacks, each with the seconds for
+        which it stays in force.
     """
 
     stamp: int
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationNews:
-    """What a call to the store said of evacuations.
+    """Evacuations read by one call to the store.
 
     Attributes:
-      whole: Whether all evacuations are among it; if not, it is what changed.
+      is_complete: Whether it contains all evacuations; otherwise only the changes.
       changes: Domains and whether they are evacuated, in the order of the changes.
     """
 
@@ -49,25 +49,25 @@
 
 
 class EvacuationTable:
-    """The evacuations as this instance knows them."""
+    """The evacuations known to this instance, from the store and from peers."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start with none; clock returns seconds and never goes back."""
+        """Start without evacuations; clock is monotonic, in seconds."""
         self._clock = clock
         self._stamp = NOTHING_READ
         self._evacuated: frozenset[str] = frozenset()
         self._lost_until_s: dict[str, float] = {}
-        # Read in the present era, so that their end is known as well.
+        # Domains read in the current era, in which the end of their evacuation is known as well.
         self._confirmed: set[str] = set()
 
     def domains(self) -> frozenset[str]:
-        """Return the failure domains that are evacuated now."""
+        """Return the failure domains that are evacuated now, including those lost by the store."""
         now_s = self._clock()
         lost = (name for name, until_s in self._lost_until_s.items() if until_s > now_s)
         return self._evacuated.union(lost)
 
     def reading(self) -> EvacuationReading:
-        """Return what this instance knows, for peers."""
+        """Return the reading that this instance passes on to peers."""
         now_s = self._clock()
         lost = tuple(
             (name, until_s - now_s)
@@ -77,14 +77,17 @@
         return EvacuationReading(self._stamp, self._evacuated, lost)
 
     def take_news(self, stamp: int, news: EvacuationNews) -> bool:
-        """Take in what the store said, and return whether it was newer than what was known."""
+        """Apply what was read from the store; return whether it was newer than the known state."""
         evacuated = set() if news.whole else set(self._evacuated)
         for domain, is_evacuated in news.changes:
             evacuated.add(domain) if is_evacuated else evacuated.discard(domain)
         return self.take(EvacuationReading(stamp, frozenset(evacuated)))
 
     def take(self, reading: EvacuationReading) -> bool:
-        """Take in a reading, and return whether it was newer than what was known."""
+        """Apply a reading of a peer or the store; return whether it was newer than the known one.
+
+        A reading of an earlier era of the store is ignored.
+        """
         now_s = self._clock()
         if era_of(max(reading.stamp, 0)) < self._era():
             return False
@@ -96,7 +99,7 @@
         return is_newer
 
     def _replace(self, reading: EvacuationReading, now_s: float) -> None:
-        """Go by a later reading."""
+        """Replace the known evacuations by a later reading; hold those lost with an older copy."""
         before = self.domains()
         if era_of(reading.stamp) > self._era():
             self._confirmed = set()
@@ -112,10 +115,10 @@
         }
 
     def _hold(self, domain: str, until_s: float) -> None:
-        """Keep up an evacuation that an older copy lacks, unless the store has had it again."""
+        """Keep a lost evacuation in force, unless it was read again in the current era."""
         if domain not in self._confirmed:
             self._lost_until_s[domain] = max(self._lost_until_s.get(domain, 0.0), until_s)
 
     def _era(self) -> int:
-        """Return the era of the store of which this instance knows."""
+        """Return the latest era of the store that this instance knows."""
         return era_of(max(self._stamp, 0))
--- a/packages/springbridge/springbridge/routing/older_lists.py
+++ b/packages/springbridge/springbridge/routing/older_lists.py
@@ -1,13 +1,12 @@
-"""What still holds of endpoints when the store has come back from an older copy.
-
-Decided: which entries of a list that stems from an older copy are passed over, and which are taken
-as draining.
-Inputs: the list, the entries in use, and the endpoints that have left a short while ago.
-Outcome: the entries to use.
-Why: an endpoint that said that it leaves, or that has left, stands on the older copy as it was
-before, and one that started again may stand there with its earlier run. Endpoints that live write
-their entries again within about two seconds; until then what was known before holds, so that no
-request is sent to one that is leaving or gone.
+"""Corrects endpoint lists read after the store was restored from an older copy.
+
+Decides which outdated entries of such a list are ignored, and which count as draining.
+Inputs: the list, the entries in use, and the endpoints that left recently.
+Result: the entries to use.
+An endpoint that is leaving or has left appears on the older copy as it was before, and one that has
+restarted may appear with its earlier incarnation. Live endpoints write their entries again within
+about two seconds. Until then the earlier knowledge takes precedence, so that no request is sent to
+an endpoint that is leaving or has ended.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,29 +14,29 @@
 
 from springbridge.routing.records import EndpointEntry
 
-# Seconds after the return within which live endpoints have written their entries again, and the
-# platform has dropped those of the dead.
+# Seconds after the store was restored within which live endpoints have written their entries again
+# and the platform has removed those of ended ones.
 SETTLED_S = 6.0
-# Seconds for which an endpoint that left the list is remembered; above the age of any copy that the
-# store comes back from.
+# Seconds for which an endpoint that left the list is remembered; above the age of any copy from
+# which the store is restored.
 REMEMBERED_S = 60.0
 
 
 class OlderLists:
-    """Corrects lists for some seconds after the store has come back from an older copy."""
+    """Corrects lists for SETTLED_S seconds after the store was restored from an older copy."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start with a store that has not."""
+        """Start with a store that was not restored; clock is monotonic, in seconds."""
         self._clock = clock
         self._went_back_s = float("-inf")
         self._left_s: dict[str, float] = {}
 
     def went_back(self) -> None:
-        """Note that the store has come back from an older copy."""
+        """Record that the store was restored from an older copy now."""
         self._went_back_s = self._clock()
 
     def left(self, endpoint_id: str) -> None:
-        """Note that an endpoint has left the list while the store was up."""
+        """Record that an endpoint has left the list while the store was up."""
         now_s = self._clock()
         self._left_s = {
             name: at_s for name, at_s in self._left_s.items() if at_s > now_s - REMEMBERED_S
@@ -52,7 +51,7 @@
         """Return the entries to use, by id.
 
         Args:
-          known: Returns the entry in use so far of an endpoint, None if there is none.
+          known: Returns the current entry of an endpoint by its id, None if there is none.
         """
         listed = {entry.endpoint_id: entry for entry in entries}
         if self._clock() > self._went_back_s + SETTLED_S:
@@ -65,10 +64,10 @@
 
 
 def _as_known(listed: EndpointEntry, known: EndpointEntry | None) -> EndpointEntry:
-    """Return a listed entry, corrected by the one in use.
+    """Return a listed entry, corrected by the entry in use.
 
-    An earlier run of the endpoint has ended, and the later one is at the address. The same run
-    drains if it was known to.
+    If the list has an earlier incarnation, that one has ended and the known later one is used. The
+    same incarnation stays draining if it was known to be draining.
     """
     if known is not None and _is_earlier(listed, known):
         return known
@@ -78,7 +77,7 @@
 
 
 def _is_earlier(one: EndpointEntry, other: EndpointEntry) -> bool:
-    """Return whether an entry is about an earlier run of an endpoint than another one."""
+    """Return whether an entry has an earlier start time than another; False if one is unknown."""
     if one.born_ms is None or other.born_ms is None:
         return False
     return one.born_ms < other.born_ms
