--- a/packages/springbridge/springbridge/routing/planned_stop.py
+++ b/packages/springbridge/springbridge/routing/planned_stop.py
@@ -1,33 +1,35 @@
-"""When a node that is asked to stop takes its last request, and when its process ends.
-
-Decided: how long a leaving node serves on, and how long it waits for its last answers.
-Inputs: the grace between the signal to stop and the kill, and the longest time for which callers
-may keep an address, both in seconds.
-Outcome: at once the node is not ready, tells all peers, and ends each connection with its next
-answer. It serves new requests for serve_on_s(), then refuses them as not run. It ends with its last
-answer, or when last_answer_s() is over.
-Why: callers hold the node's address for a while, and a request that arrives meanwhile would fail.
-The time after that belongs to the answers in progress, and none of them may be cut off by the kill.
+"""Planned stop: the timing of an instance's graceful shutdown.
+
+Decides how long a leaving instance serves new requests, and how long it waits for answers in
+progress.
+Inputs: the grace period between the signal to stop and the kill, and the longest time for which
+callers may cache an address, both in seconds.
+On the signal the instance becomes not ready, notifies all peers, and closes each connection with
+its next answer. It serves new requests for serve_on_s(), then refuses them as not run. It exits
+after its last answer, or after last_answer_s().
+Callers cache the instance's address for a while, and a request that arrives in that time would
+otherwise fail. The rest of the grace period is for answers in progress, none of which may be cut
+off by the kill.
 """
 
-# Seconds for which callers may keep an answer of the directory, unless the settings allow less. A
-# node that leaves gets new requests for that long.
+# Seconds for which callers may cache an answer of the directory, unless the settings allow less. A
+# leaving instance gets new requests for that long.
 ADDRESS_TTL_S = 1.0
-# Seconds for which a leaving node serves new requests. Above ADDRESS_TTL_S by several heartbeats,
-# since the notice to a peer may be lost and that peer names the node once more.
+# Seconds for which a leaving instance serves new requests. Above ADDRESS_TTL_S by several
+# heartbeats, since the notice to a peer may be lost and that peer may return the address once more.
 SERVE_ON_S = 2.8
-# Largest share of the grace in which new requests are served. A short grace leaves as much time to
-# the answers in progress.
+# Largest share of the grace period in which new requests are served. In a short grace period, the
+# answers in progress get as much time.
 SERVE_ON_SHARE = 0.5
-# Seconds before the end of the grace at which the node stops waiting for answers. For the last
-# notice to peers and the exit, so that the process ends before the kill.
+# Seconds before the end of the grace period at which the instance stops waiting for answers. Leaves
+# time for the last notice to peers and the exit, so that the process ends before the kill.
 END_MARGIN_S = 0.25
 
 assert SERVE_ON_S > ADDRESS_TTL_S, "callers' addresses must be old before requests are refused"
 
 
 def address_ttl_s(longest_ttl_s: float) -> float:
-    """Return how long callers may keep an answer of the directory, in seconds.
+    """Return how long callers may cache an answer of the directory, in seconds.
 
     Args:
       longest_ttl_s: Longest time that the settings allow, in seconds.
@@ -36,7 +38,7 @@
 
 
 def serve_on_s(grace_s: float) -> float:
-    """Return how long a leaving node serves new requests, in seconds from the signal.
+    """Return how long a leaving instance serves new requests, in seconds from the signal.
 
     Args:
       grace_s: Time from the signal to the kill, in seconds.
@@ -45,5 +47,5 @@
 
 
 def last_answer_s(grace_s: float) -> float:
-    """Return how long a leaving node waits for answers in progress, in seconds from the signal."""
+    """Return how long a leaving instance waits for answers, in seconds from the signal."""
     return grace_s - END_MARGIN_S
