--- a/packages/springbridge/springbridge/routing/records.py
+++ b/packages/springbridge/springbridge/routing/records.py
@@ -1,37 +1,37 @@
-"""Records of routing: the operators' configuration, the endpoint list and the facts of a request.
+"""Data classes of routing: the operators' configuration, the endpoint list and a request's facts.
 
-All are frozen, and the functions over them are in the other modules of this package. Names that end
-in _s hold seconds; moments are seconds of the instance's monotonic clock.
-The defaults stand for what the operators leave out.
+All are frozen; the functions that use them are in the other modules of this package. Names ending
+in _s hold seconds; points in time are seconds of the instance's monotonic clock.
+The defaults apply to whatever the operators leave out.
 """
 
 from dataclasses import dataclass, field
 
 from springbridge.duties.scaling import ScalingLimits
 
-# Rank of a route without a priority. The middle of the usual ones; for overload it is among the
+# Priority of a route that has none: the middle of the usual ones. For load shedding it is among the
 # least urgent (overload.py).
 NO_PRIORITY = 5
 # Longest time in seconds for which a request is held.
 DEFAULT_TIMEOUT_S = 60.0
-# Target in seconds for the first event or the answer. overload.py derives from it how long a
-# backlog may be.
+# Target in seconds for the first event or the answer. overload.py derives the longest backlog from
+# it.
 DEFAULT_TARGET_S = 1.0
-# Connections that an endpoint takes from all instances. The pool shares them out.
+# Connections that an endpoint accepts from all instances together. The pool divides them up.
 DEFAULT_MAX_CONNECTIONS = 100
-# Size of a request's head in bytes. It bounds memory for each connection.
+# Maximum size of a request's head in bytes. It bounds the memory per connection.
 DEFAULT_HEADER_BYTES = 16384
-# Size of a request's body in bytes, 4 MiB. It bounds memory for each request.
+# Maximum size of a request's body in bytes, 4 MiB. It bounds the memory per request.
 DEFAULT_BODY_BYTES = 4 << 20
-# Seconds for the head of a request to arrive.
+# Longest time in seconds for the head of a request to arrive.
 DEFAULT_HEADER_TIMEOUT_S = 3.0
-# Seconds for which a connection may stay idle. It bounds how many are open.
+# Seconds for which a connection may stay idle. It bounds the number of open connections.
 DEFAULT_IDLE_TIMEOUT_S = 15.0
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service that a route sends to, and its share of the route's requests."""
+    """A service to which a route sends requests, and its share of them."""
 
     name: str
     weight: float
@@ -39,20 +39,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What the operators want for the requests of one host and path prefix.
+    """The operators' settings for the requests of one host and path prefix.
 
     Attributes:
       path_prefix: Begins and ends with a slash; the longest that matches a path wins.
-      streaming: Whether the answer is a series of events.
+      streaming: Whether the answer is a stream of server-sent events.
       repeatable: Whether a request may run more than once.
-      resumable: Whether a broken stream may continue at another endpoint.
+      resumable: Whether a broken stream may be resumed at another endpoint.
       timeout_s: Longest time for which a request is held.
       target_s: Time to the first event, or to the answer, that the operators aim for.
       pause_s: Longest pause between events that the operators aim for, 0 if unknown; no decision
         uses it.
-      priority: Rank of the route, 0 most urgent.
+      priority: Priority of the route, 0 most urgent.
       max_endpoints: Largest number of endpoints to which one request may be sent.
-      needs_key: Whether a caller has to show a customer's key.
+      needs_key: Whether a caller must present a customer's key.
     """
 
     name: str
@@ -72,16 +72,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A kind of endpoint.
+    """A service: a group of interchangeable endpoints and its settings.
 
     Attributes:
       health_path: Path of an endpoint's health check; no decision uses it.
-      max_connections: Connections that one endpoint takes from all instances together.
+      max_connections: Connections that one endpoint accepts from all instances together.
       token_capacity: Tokens of running requests and cached prompts that fit into an endpoint; 0 for
         plain services.
-      fetches: Whether an endpoint can fetch what another one keeps of a prompt.
-      scaling: Within which limits endpoints may be ordered; None if they may not.
-      cold_per_s: Requests a second that a cold endpoint bears from all instances; 0 if unknown.
+      fetches: Whether an endpoint can fetch cached prompt parts from another one.
+      scaling: Limits within which endpoints may be ordered; None if they may not be ordered.
+      cold_per_s: Requests per second that a cold endpoint can take from all instances; 0 if
+        unknown.
     """
 
     name: str
@@ -95,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerKeys:
-    """A customer, its keys, and its priority if it has one of its own, 0 most urgent."""
+    """A customer with its keys and its own priority, 0 most urgent; None if it has none."""
 
     name: str
     keys: tuple[str, ...]
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """How much a caller may send, and for how long its connection may stay idle.
+    """Limits on the size of requests and on the idle time of callers' connections.
 
     Attributes:
       header_timeout_s: Longest time for a head to arrive; nothing reads it, idle_timeout_s is used.
@@ -118,11 +119,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """The operators' configuration at one version; versions only grow.
+    """The operators' configuration at one version; versions only increase.
 
     Attributes:
-      keeps_customers: Whether the operators keep a list of customers, also an empty one: a caller
-        without a customer's key is refused then on routes that need one.
+      keeps_customers: Whether the operators keep a list of customers, even an empty one. If so, a
+        caller without a customer's key is refused on routes that need one.
     """
 
     version: int
@@ -135,11 +136,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointIncarnation:
-    """One run of an endpoint's process: an endpoint may start again under its id.
+    """One run of an endpoint's process; an endpoint may restart under the same id.
 
     Attributes:
-      born_ms: Unix time of its start in milliseconds, by the endpoint's clock; None if it does not
-        say. Only compared for equality, never with another clock.
+      born_ms: Unix time of its start in milliseconds by the endpoint's clock; None if unknown. It
+        is never compared with another clock.
     """
 
     endpoint_id: str
@@ -148,15 +149,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One incarnation of an endpoint, as it is on the platform's list.
+    """One incarnation of an endpoint as listed by the platform.
 
     Attributes:
-      address: IP number and port. Another endpoint may have it later.
+      address: IP address and port; may be reused by another endpoint later.
       slots: Requests that the endpoint runs at a time.
       draining: Whether the endpoint is about to leave and takes no new requests.
       born_ms: See EndpointIncarnation.
-      spot: Whether the endpoint costs less and may be taken away at short notice.
-      cold: Whether the endpoint says that it is cold; only of services that name a rate for it.
+      spot: Whether it is a spot endpoint: cheaper, and may be taken away at short notice.
+      cold: Whether the endpoint reports that it is cold; only for services with a rate for cold
+        endpoints.
     """
 
     endpoint_id: str
@@ -171,18 +173,18 @@
 
     @property
     def incarnation(self) -> EndpointIncarnation:
-        """Return which run of the endpoint's process the entry is about."""
+        """Return the incarnation of the endpoint that the entry describes."""
         return EndpointIncarnation(self.endpoint_id, self.born_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadableEntry:
-    """An entry of the list that names no endpoint, because it cannot be read.
+    """An entry of the list that cannot be parsed.
 
     Attributes:
-      key: Where the entry stands on the list.
-      reason: What is wrong with it, without its content.
-      content_hash: Hash of its content, so that a changed entry can be told from the same one.
+      key: The key of the entry on the list.
+      reason: What is wrong with the entry, without its content.
+      content_hash: Hash of its content, to detect changes of the entry.
     """
 
     key: str
@@ -192,10 +194,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """The platform's list of endpoints at one revision; revisions only grow.
+    """The platform's list of endpoints at one revision; revisions only increase.
 
     Attributes:
-      unreadable: Entries that the reader of the store had to pass over; not passed on to peers.
+      unreadable: Entries that the reader of the store had to skip; not sent to peers.
     """
 
     revision: int
@@ -213,16 +215,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """What routing knows of a request. It never sees the content.
+    """A request as routing sees it, without its content.
 
     Attributes:
       path: Path without the query.
-      key: What the caller showed, or None.
-      arrived_s: When the request had begun to arrive.
-      patience_s: How long the caller waits, counted from arrived_s; None if it did not say.
-      prompt_tokens: Length of the prompt; 0 if the caller did not say.
-      answer_tokens: Longest answer asked for, 0 if the caller did not say; no decision uses it.
-      resume_after: The last event that the caller has, or None; no decision uses it.
+      key: The key presented by the caller, or None.
+      arrived_s: When the request began to arrive.
+      caller_timeout_s: How long the caller waits, counted from arrived_s; None if not given.
+      prompt_tokens: Length of the prompt; 0 if not given.
+      answer_tokens: Requested maximum length of the answer, 0 if not given; no decision uses it.
+      resume_after: Id of the last event that the caller has, or None; no decision uses it.
     """
 
     request_id: str
@@ -242,10 +244,10 @@
     """A request that the configuration allows.
 
     Attributes:
-      customer: Name of the customer, or "" on a route that needs no key.
-      priority: Rank of the request, 0 most urgent.
-      version: Version of the configuration that decided.
-      deadline_s: Moment at which the request is given up.
+      customer: Name of the customer, "" if the request belongs to none.
+      priority: Priority of the request, 0 most urgent.
+      version: Version of the configuration that admitted it.
+      deadline_s: When the request is given up.
     """
 
     arrival: Arrival
@@ -259,16 +261,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What the choice of an endpoint has to know of a request.
+    """The facts of a request that the choice of an endpoint needs.
 
-    It travels to coordinators as a list of its fields, in this order.
+    Instances send it to coordinators as a list of its fields, in this order.
 
     Attributes:
-      failure_domain: Failure domain of the instance that will send it.
-      priority: Rank of its route, 0 most urgent; not the customer's, since a whole kind of request
-        must not starve behind a less urgent one.
+      failure_domain: Failure domain of the instance that will send the request.
+      priority: Priority of its route, 0 most urgent; not the customer's, since a whole kind of
+        request must not starve behind a less urgent one.
       target_s: Time to the first event that the operators aim for.
-      fetches: Whether an endpoint of the service can fetch what another one keeps of a prompt.
+      fetches: Whether an endpoint of the service can fetch cached prompt parts from another one.
     """
 
     request_id: str
@@ -282,10 +284,10 @@
 
     @classmethod
     def from_admitted(cls, admitted: Admitted, failure_domain: str) -> "Demand":
-        """Return what the choice has to know of an admitted request.
+        """Return the demand of an admitted request.
 
         Args:
-          failure_domain: Of this instance.
+          failure_domain: Failure domain of this instance.
         """
         arrival = admitted.arrival
         return cls(
