--- a/packages/springbridge/springbridge/routing/admission_test.py
+++ b/packages/springbridge/springbridge/routing/admission_test.py
@@ -82,7 +82,7 @@
     assert_that(found.customer, Equals(""))
 
 
-# Guards against opening every route by taking away the last customer.
+# Guards against opening every route to all callers by removing the last customer.
 @pytest.mark.parametrize("key", [None, "key-1"])
 def test_where_operators_keep_customers_taking_away_the_last_one_opens_nothing(key):
     index = index_of(make_route(), customers=())
--- a/packages/springbridge/springbridge/routing/conftest.py
+++ b/packages/springbridge/springbridge/routing/conftest.py
@@ -22,7 +22,7 @@
 
 
 def make_route(name="r", prefix="/r/", **fields):
-    """Return a route that is repeatable unless fields say otherwise."""
+    """Return a repeatable route; fields override the defaults."""
     plain = {
         "name": name,
         "host": "desk.example",
@@ -65,7 +65,7 @@
 
 
 def make_demand(parts=(), fetches=True, failure_domain="perth-a", **fields):
-    """Return what a request with a prompt demands."""
+    """Return the demand of a request with a prompt."""
     return replace(Demand.from_admitted(make_admitted(parts, fetches), failure_domain), **fields)
 
 
--- a/packages/springbridge/springbridge/routing/coordinators_test.py
+++ b/packages/springbridge/springbridge/routing/coordinators_test.py
@@ -1,4 +1,4 @@
-"""Tests of coordinators.py: who coordinates, and whom an instance asks first."""
+"""Tests of coordinators.py: which instances coordinate, and in which order they are asked."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
--- a/packages/springbridge/springbridge/routing/ejection_test.py
+++ b/packages/springbridge/springbridge/routing/ejection_test.py
@@ -1,4 +1,4 @@
-"""Tests of ejection.py: failures in a row eject an endpoint, each further one for longer."""
+"""Tests of ejection.py: consecutive failures eject an endpoint, each further one for longer."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
--- a/packages/springbridge/springbridge/routing/eligibility_test.py
+++ b/packages/springbridge/springbridge/routing/eligibility_test.py
@@ -1,4 +1,4 @@
-"""Tests of eligibility.py: which endpoints may get a request, and from when on no longer."""
+"""Tests of eligibility.py: which endpoints may get a request, and when they are excluded."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -17,8 +17,8 @@
 
 
 def test_one_engine_that_vanished_over_an_outage_gets_nothing(registry, clock):
-    # An instance that was cut off from the store took the removal of one endpoint for a lapse of
-    # the list, and sent it requests for seconds.
+    # Guards against taking the removal of one endpoint during an outage of the store for a lapse of
+    # the list: the instance would send it requests for seconds.
     clock.advance(OUTAGE_S + 2.0)
     registry.install(make_snapshot(2, "a", "b", "c"), {}, 0.0)
     assert_that(usable_ids(registry), Equals(["a", "b", "c"]))
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("drain_s", [1.5, 2.0, 3.0])
 def test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over(clock, drain_s):
-    # An instance that has read that an endpoint left must stop using it, during an outage as well.
+    # After an instance has read that an endpoint left, it must stop using it even in an outage.
     registry = EndpointRegistry(clock, drain_s)
     registry.install(make_snapshot(1, "a", "b"), {}, 0.0)
     clock.advance(OUTAGE_S + 2.0)
@@ -64,7 +64,8 @@
 
 
 def test_an_unreachable_engine_gets_nothing_until_it_is_reached(registry):
-    # With no endpoint reachable, requests waited for connections and were refused late.
+    # Guards against requests that wait for connections and are refused late if no endpoint is
+    # reachable.
     for name in "abcd":
         registry.unreachable(registry.find(name))
     assert_that(usable_ids(registry), Equals([]))
--- a/packages/springbridge/springbridge/routing/endpoint_choice_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice_test.py
@@ -1,4 +1,4 @@
-"""Tests of endpoint_choice.py: where a prompt goes, and what is fetched."""
+"""Tests of endpoint_choice.py: which endpoint gets a prompt, and what it fetches."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -137,8 +137,8 @@
 
 
 def test_prompts_are_fetched_from_endpoints_that_leave_within_a_burst(endpoints):
-    # Spot endpoints of a failure domain leave together, with what they keep, while prompts that
-    # share it keep coming: each is fetched once from where it still is, and not read anew.
+    # Spot endpoints of a failure domain leave together, with their caches, while prompts that share
+    # cached parts keep arriving. Each part is fetched once from a leaving endpoint, not read again.
     home = chosen(endpoints, LONG).state
     start(endpoints, home.entry.endpoint_id)
     finish(endpoints, home.entry.endpoint_id)
--- a/packages/springbridge/springbridge/routing/endpoint_cost_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_cost_test.py
@@ -95,7 +95,7 @@
 
 
 def test_a_prompt_with_a_short_target_is_fetched_before_it_waits(state):
-    # 6,000 tokens that another endpoint keeps, behind its backlog of half a second of reading.
+    # 6,000 tokens that another endpoint has cached, behind its backlog of half a second of reading.
     fetched = fetch_weight(0.6) * 6_000
     patient = fetch_weight(2.5) * 6_000
     assert_that(fetched < 20_000 < patient, Equals(True))
--- a/packages/springbridge/springbridge/routing/endpoint_registry_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_registry_test.py
@@ -1,4 +1,4 @@
-"""Tests of endpoint_registry.py: the list in use."""
+"""Tests of endpoint_registry.py: installing endpoint lists."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
--- a/packages/springbridge/springbridge/routing/endpoint_restart_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_restart_test.py
@@ -1,7 +1,7 @@
-"""Tests of endpoint_registry.py: an endpoint that starts again under its id.
+"""Tests of endpoint_registry.py: an endpoint that restarts under the same id.
 
-The new process holds nothing of the old one, so that nothing that is known of the old one may
-decide where requests go.
+The new process has none of the old one's requests, caches or connections, so the state of the old
+process must not influence routing to the new one.
 """
 
 from dataclasses import replace
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def registry(clock):
-    """Return a registry of one endpoint that runs a request, keeps its prompt and fails."""
+    """Return a registry of one endpoint that runs a request, has its prompt cached and fails."""
     registry = EndpointRegistry(clock)
     install(registry, 1, FIRST)
     registry.take_notice(LoadNotice(LoadPhase.STARTED, "me/1", "e0", 900, PROMPT))
--- a/packages/springbridge/springbridge/routing/endpoint_state_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state_test.py
@@ -1,4 +1,4 @@
-"""Tests of endpoint_state.py: the load of an endpoint, and what it shows of its reading speed."""
+"""Tests of endpoint_state.py: the load of an endpoint and the estimate of its reading speed."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/routing/evacuations_test.py
+++ b/packages/springbridge/springbridge/routing/evacuations_test.py
@@ -1,4 +1,4 @@
-"""Tests of which failure domains are evacuated: later stamps win, an older copy ends nothing."""
+"""Tests of evacuations.py: later stamps win, and an older copy of the store ends no evacuation."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -14,12 +14,12 @@
 
 
 def asked(*domains, whole=True):
-    """Return news that domains are evacuated."""
+    """Return an update by which domains are evacuated."""
     return EvacuationNews(whole, tuple((domain, True) for domain in domains))
 
 
 def ended(*domains):
-    """Return news that evacuations of domains were taken away."""
+    """Return an update by which the evacuations of domains end."""
     return EvacuationNews(False, tuple((domain, False) for domain in domains))
 
 
--- a/packages/springbridge/springbridge/routing/event_stream_test.py
+++ b/packages/springbridge/springbridge/routing/event_stream_test.py
@@ -1,4 +1,4 @@
-"""Tests of event_stream.py: whole events, however the stream is cut into pieces."""
+"""Tests of event_stream.py: complete events, however the stream is split into chunks."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
     assert_that(event.event_id, Equals(None))
 
 
-# Guards against holding a stream with carriage returns back to its end.
+# Guards against buffering a stream with CRLF line ends until its end.
 @given(st.lists(st.integers(0, len(STREAM) + 8), max_size=8))
 def test_events_with_carriage_returns_come_whole_whatever_the_pieces(cuts):
     stream = STREAM.replace(b"\n", b"\r\n")
--- a/packages/springbridge/springbridge/routing/giving_up_test.py
+++ b/packages/springbridge/springbridge/routing/giving_up_test.py
@@ -1,4 +1,4 @@
-"""Tests of giving_up.py: which answer ends a request, and that refusals promise it has not run."""
+"""Tests of giving_up.py: the final answer, and that a refused request has not run."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -12,7 +12,7 @@
 from springbridge.routing.overload import Overload
 from springbridge.routing.retries import Attempts, End
 
-# A target of 2 s: a tenth of it is the time to come back.
+# A target of 2 s: Retry-After is a tenth of it.
 ROUTE = make_route(target_s=2.0)
 NOT_SENT = Attempts()
 ALL_BUSY = Attempts(unreached=2, busy=2)
--- a/packages/springbridge/springbridge/routing/older_lists_test.py
+++ b/packages/springbridge/springbridge/routing/older_lists_test.py
@@ -1,4 +1,4 @@
-"""Tests of lists that stem from an older copy of the store."""
+"""Tests of endpoint lists read after the store was restored from an older copy."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -16,7 +16,7 @@
     now_s = 100.0
 
     def __call__(self):
-        """Return the time."""
+        """Return the current time in seconds."""
         return self.now_s
 
 
@@ -87,6 +87,6 @@
     registry.heard_leaving(leaving.incarnation)
     registry.install(snapshot(1, 700, entry("e-1", born_ms=1000), other), {}, 0.0)
     assert_that(usable(registry), Equals(["e-2"]))
-    # A later run still is another one.
+    # A later incarnation is still taken as a new process.
     registry.install(snapshot(1, 701, entry("e-1", born_ms=3000), other), {}, 0.0)
     assert_that(usable(registry), Equals(["e-1", "e-2"]))
--- a/packages/springbridge/springbridge/routing/overload_test.py
+++ b/packages/springbridge/springbridge/routing/overload_test.py
@@ -1,4 +1,4 @@
-"""Tests of overload.py: the least urgent are refused first, and only when no endpoint has room."""
+"""Tests of overload.py: the least urgent are refused first, and only if all endpoints are full."""
 
 import itertools
 
@@ -17,14 +17,14 @@
 
 
 def fill(registry, count, names=ALL):
-    """Give each endpoint so many requests whose prompts have been read."""
+    """Give each endpoint count requests whose prompts have been read."""
     for name in names:
         for number in range(count):
             registry.take_notice(LoadNotice(LoadPhase.STARTED, f"{name}-{number}", name))
 
 
 def leave_behind(registry, backlog_s, names=ALL):
-    """Give each endpoint prompts that take so long to read."""
+    """Give each endpoint a backlog of this many seconds of reading."""
     for name in names:
         speed = registry.find(name).speed.tokens_per_s
         tokens = round(backlog_s * speed)
--- a/packages/springbridge/springbridge/routing/prefix_cache_test.py
+++ b/packages/springbridge/springbridge/routing/prefix_cache_test.py
@@ -1,4 +1,4 @@
-"""Tests of prefix_cache.py: what an endpoint probably keeps of a prompt."""
+"""Tests of prefix_cache.py: which parts of a prompt an endpoint has probably cached."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
--- a/packages/springbridge/springbridge/routing/prompt_load_test.py
+++ b/packages/springbridge/springbridge/routing/prompt_load_test.py
@@ -1,4 +1,4 @@
-"""Tests of prompt_load.py: what runs at an endpoint, and what it is given to read."""
+"""Tests of prompt_load.py: running requests and the rate of prompt tokens at an endpoint."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/routing/readiness_test.py
+++ b/packages/springbridge/springbridge/routing/readiness_test.py
@@ -1,4 +1,4 @@
-"""Tests of readiness.py: callers are sent only to a node that can serve them."""
+"""Tests of readiness.py: callers are sent only to an instance that can serve them."""
 
 from itertools import product
 
--- a/packages/springbridge/springbridge/routing/reading_speed_test.py
+++ b/packages/springbridge/springbridge/routing/reading_speed_test.py
@@ -1,4 +1,4 @@
-"""Tests of reading_speed.py: only what was read of a backlog counts."""
+"""Tests of reading_speed.py: only tokens read during a backlog count."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/routing/reserved_endpoints_test.py
+++ b/packages/springbridge/springbridge/routing/reserved_endpoints_test.py
@@ -1,4 +1,4 @@
-"""Tests of reserved_endpoints.py: which endpoints are reserved, and what the others pay there."""
+"""Tests of reserved_endpoints.py: which endpoints are reserved, and the cost of the wrong kind."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -31,7 +31,7 @@
 
 
 def start(state, count, tokens):
-    """Start so many requests, each with a prompt of so many tokens that nothing is kept of."""
+    """Start count requests, each with an uncached prompt of this many tokens."""
     for number in range(count):
         attempt = f"{tokens}-{number}"
         state.started(LoadNotice(LoadPhase.STARTED, attempt, "e0", tokens), NOW_S)
@@ -48,7 +48,7 @@
 
 
 def test_all_instances_reserve_the_same_endpoints_whatever_their_order():
-    # Instances of other releases reserve these ids as well, so the hash key must not change.
+    # Instances of other releases reserve the same ids, so the hash key must not change.
     states = make_states(10)
     assert_that(reserved_endpoints(states, NOW_S), Equals(frozenset(RESERVED_OF_TEN)))
     assert_that(reserved_endpoints(states[::-1], NOW_S), Equals(frozenset(RESERVED_OF_TEN)))
--- a/packages/springbridge/springbridge/routing/retries_test.py
+++ b/packages/springbridge/springbridge/routing/retries_test.py
@@ -1,4 +1,4 @@
-"""Tests of retries.py: what another endpoint may get, and how long silence is waited for."""
+"""Tests of retries.py: which requests may be retried, and the timeout of a silent endpoint."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/routing/retry_after_test.py
+++ b/packages/springbridge/springbridge/routing/retry_after_test.py
@@ -1,4 +1,4 @@
-"""Tests of retry_after.py: each refusal has its time to come back."""
+"""Tests of retry_after.py: the Retry-After time of each refusal."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/routing/selection_test.py
+++ b/packages/springbridge/springbridge/routing/selection_test.py
@@ -1,4 +1,4 @@
-"""Tests of selection.py: the endpoint for an attempt, or why there is none."""
+"""Tests of selection.py: the endpoint for an attempt, a refusal, or neither."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
--- a/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
+++ b/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
@@ -1,4 +1,4 @@
-"""Tests of shared_retry_budget.py: all instances together keep within ratio and slack."""
+"""Tests of shared_retry_budget.py: all instances together stay within ratio and slack."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, LessThan
--- a/packages/springbridge/springbridge/routing/statements_in_routing_test.py
+++ b/packages/springbridge/springbridge/routing/statements_in_routing_test.py
@@ -1,4 +1,4 @@
-"""Tests of what routing does with the statements of endpoints: no candidate, and why."""
+"""Tests of how endpoints' statements about themselves exclude them from routing."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
@@ -10,13 +10,13 @@
 
 
 def leave(registry, *names):
-    """Let endpoints say that they leave."""
+    """Record the endpoints' statements that they are leaving."""
     for name in names:
         registry.heard_leaving(registry.find(name).entry.incarnation)
 
 
 def rest(registry, name, seconds):
-    """Let an endpoint ask for rest."""
+    """Record an endpoint's request for a rest of some seconds."""
     registry.statements.asked_rest(registry.find(name).entry.incarnation, seconds)
 
 
@@ -55,7 +55,7 @@
     leave(registry, "a")
     clock.now_s += OUTAGE_S + 1.0
     registry.install(make_snapshot(3), {}, 0.0)
-    # The other one has lapsed with the outage; this one is gone.
+    # The entry of b lapsed with the outage, while a has left.
     assert_that(candidates(registry), Equals(["b"]))
     clock.now_s += 5.0
     registry.install(make_snapshot(4), {}, 0.0)
--- a/packages/springbridge/springbridge/routing/store_freshness_test.py
+++ b/packages/springbridge/springbridge/routing/store_freshness_test.py
@@ -1,4 +1,4 @@
-"""Tests of store_freshness.py: who reads the store and when, and what a peer's list proves."""
+"""Tests of store_freshness.py: which instances read the store when, and what peers' lists prove."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/routing/turned_away_test.py
+++ b/packages/springbridge/springbridge/routing/turned_away_test.py
@@ -1,9 +1,9 @@
-"""Tests of which endpoints get requests while some of them turn every request away.
+"""Tests that endpoints which turn every request away attract few requests.
 
-The load: a third of the endpoints of a model answer at once that they do not run the request, as
-one does whose admission is broken. Such an endpoint never has work, so that it looks the cheapest
-to the next request. Its figures: 30 endpoints, 900 requests, one new prompt each, two endpoints at
-most for a request. Seen on running nodes: 7.7% of all requests were refused for it, 3.6% since.
+A third of a model's endpoints answer at once that they do not run the request, as with broken
+admission. Such an endpoint never has load, so it looks the cheapest for the next request. The test
+uses 30 endpoints, 900 requests with a new prompt each, and at most two endpoints per request. On
+running instances 7.7% of all requests were refused without the ejection, 3.6% with it.
 """
 
 import pytest
@@ -23,9 +23,8 @@
 MOST_ENDPOINTS = 2
 REQUESTS_PER_S = 60
 RUNS_S = 0.5
-# Share of the requests that may be refused. Chosen as a twentieth: until a broken endpoint has
-# failed three times, and once whenever it is tried again, a request may meet two of them. With no
-# ejection 91% are refused.
+# Share of the requests that may be refused. Until a broken endpoint has failed three times, and
+# once whenever it is tried again, a request may meet two of them. Without ejection 91% are refused.
 MOST_REFUSED = 0.05
 BROKEN = {f"e{number}" for number in range(0, ENDPOINTS, 3)}
 
@@ -43,7 +42,7 @@
 
 
 def send(registry, clock, number, running):
-    """Send one request to up to MOST_ENDPOINTS endpoints, and return whether one took it."""
+    """Send one request to up to MAX_ENDPOINTS endpoints, and return whether one accepted it."""
     demand = make_demand((("shared", 0), (f"own-{number}", 900)))
     tried = set()
     for attempt in range(MOST_ENDPOINTS):
@@ -62,7 +61,7 @@
 
 
 def end_old(registry, clock, running):
-    """End the requests whose time is over."""
+    """End the requests that have run for RUNS_S."""
     while running and running[0][0] <= clock.now_s:
         notice = running.pop(0)[1]
         for phase in (LoadPhase.READ, LoadPhase.ENDED):
