--- a/packages/springbridge-node/springbridge_node/gateway/duties/scaler.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/scaler.py
@@ -165,7 +165,7 @@
         count = sum(each.on_demand + each.spot for each in domains.values())
         self._stood.setdefault(service, count)
         demand = self._sharing.demand
-        speed = self._registry.usual_speed(service)
+        speed = self._registry.mean_reading_speed(service)
         return Load(
             now=demand.peak_per_s(service, PRESENT_S) / speed,
             peak=demand.peak_per_s(service, KEPT_S) / speed,
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
@@ -35,5 +35,5 @@
         except ConnectFailedError:
             # No line: its first failure was logged, and the next round tries it again.
             return
-        self._registry.reached(state)
+        self._registry.mark_reachable(state)
         logs.event("engine.reached", engine=state.entry.endpoint_id)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -275,7 +275,7 @@
     def reload(self, settings: GatewaySettings) -> None:
         """Apply changed settings, except addresses, which stay as they were at the start."""
         self.settings = replace(settings, addresses=self.settings.addresses)
-        self.budget.terms = settings.budget
+        self.budget.limits = settings.budget
         self.membership.set_listed(settings.seeds)
         logs.event("settings.reloaded", seeds=list(settings.seeds))
 
@@ -309,6 +309,6 @@
         self.registry.statements.forget_gone(known)
         self.registry.expire_loads()
         heard = {member.incarnation for member in self.membership.reachable()}
-        self.registry.keep_loads_of(heard | {self.membership.me.incarnation})
+        self.registry.drop_loads_except(heard | {self.membership.me.incarnation})
         self.heartbeats.forget_gone()
         self.quarantine_parts.gate.forget_old()
--- a/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing.py
@@ -79,7 +79,7 @@
             return False
         self._in_force = after
         self._tell_until_s = self._clock() + TELL_END_S
-        self._registry.evacuate(after)
+        self._registry.set_evacuated_domains(after)
         self._changed()
         for domain in sorted(after - before):
             logs.event("domain.evacuated", failure_domain=domain, source=source)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/foreign_datagrams_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/foreign_datagrams_test.py
@@ -123,7 +123,7 @@
     for member in node.membership.digest():
         orjson.dumps(codec.member_row(member))
     node.registry.expire_loads()
-    node.registry.keep_loads_of({"me", "peer"})
+    node.registry.drop_loads_except({"me", "peer"})
     assert_that(node.registry.find("e1").entry.slots, Equals(4))
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
@@ -14,8 +14,8 @@
 from springbridge.routing.load_notices import (
     LoadNotice,
     LoadPhase,
-    attempt_name,
     endpoint_notice,
+    make_attempt_id,
 )
 from springbridge.routing.records import Demand, EndpointEntry
 from springbridge.routing.selection import start_notice
@@ -90,7 +90,7 @@
     def new_attempt_id(self) -> str:
         """Return a name for an attempt, new among those of all nodes."""
         self._count += 1
-        return attempt_name(self._incarnation, self._count)
+        return make_attempt_id(self._incarnation, self._count)
 
     @contextlib.contextmanager
     def attempt(
@@ -119,7 +119,7 @@
 
     def publish(self, notice: LoadNotice) -> None:
         """Take in a notice here and send it to peers within GATHER_S."""
-        self._registry.take_notice(notice)
+        self._registry.apply_notice(notice)
         state = self._registry.find(notice.endpoint_id)
         if self._datagrams is None or state is None:
             return
@@ -142,4 +142,4 @@
         for row in rows:
             notice = codec.read_notice(row)
             self._received(notice)
-            self._registry.take_notice(notice)
+            self._registry.apply_notice(notice)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_client_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_client_test.py
@@ -81,7 +81,7 @@
 ):
     registry = make_registry()
     for number in range(4 * 60):
-        registry.take_notice(LoadNotice(LoadPhase.STARTED, f"x{number}", f"e{number % 4}"))
+        registry.apply_notice(LoadNotice(LoadPhase.STARTED, f"x{number}", f"e{number % 4}"))
     for member in coordinators(fleet.live(), MODEL):
         SelectionServer(registry, by_token_cost, clock).connect(wire.end(member.peer_address))
     client = SelectionClient(make_registry(), CoordinatorSet(fleet, clock))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_server.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_server.py
@@ -77,7 +77,7 @@
         if choice is None:
             return SelectionReply(request.number, "", "", 0, selection.overload)
         endpoint_id = choice.state.entry.endpoint_id
-        self._registry.take_notice(start_notice(choice, demand, request.attempt_id))
+        self._registry.apply_notice(start_notice(choice, demand, request.attempt_id))
         self._unconfirmed[request.attempt_id] = Unconfirmed(endpoint_id, self._clock())
         source_id = choice.source.entry.endpoint_id if choice.source else ""
         return SelectionReply(request.number, endpoint_id, source_id, choice.fetched_tokens, None)
@@ -97,7 +97,9 @@
             if attempt.since_s > oldest_s:
                 return
             del self._unconfirmed[attempt_id]
-            self._registry.take_notice(LoadNotice(LoadPhase.ENDED, attempt_id, attempt.endpoint_id))
+            self._registry.apply_notice(
+                LoadNotice(LoadPhase.ENDED, attempt_id, attempt.endpoint_id)
+            )
 
     def _answer(self, row: list, sender: str) -> None:
         """Answer a node's request."""
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_server_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_server_test.py
@@ -36,12 +36,12 @@
     # A large fleet whose engines had come back under other names: coordinators named the old ones
     # again and again, as each node had to find out for itself.
     gone = select(server, demand, "a").endpoint_id
-    registry.take_notice(LoadNotice(LoadPhase.GONE, "", gone))
+    registry.apply_notice(LoadNotice(LoadPhase.GONE, "", gone))
     second = select(server, demand, "b").endpoint_id
-    registry.take_notice(LoadNotice(LoadPhase.UNREACHED, "", second))
+    registry.apply_notice(LoadNotice(LoadPhase.UNREACHED, "", second))
     third = select(server, demand, "c").endpoint_id
     assert_that(len({gone, second, third}), Equals(3))
-    registry.reached(registry.find(second))
+    registry.mark_reachable(registry.find(second))
     others = {"e0", "e1", "e2", "e3"} - {second}
     assert_that(select(server, demand, "d", others).endpoint_id, Equals(second))
 
@@ -57,7 +57,7 @@
     dropped = select(server, demand, "dropped").endpoint_id
     notice = LoadNotice(LoadPhase.STARTED, "kept", kept, 16_000, demand.prompt_parts)
     server.confirm(notice)
-    registry.take_notice(notice)
+    registry.apply_notice(notice)
     assert_that(registry.find(kept).loads["kept"].prefill_tokens, Equals(16_000))
     clock.now_s += AWAIT_NOTICE_S + 0.1
     select(server, demand, "later")
@@ -69,7 +69,7 @@
     server, registry, demand
 ):
     for number in range(4 * 40):
-        registry.take_notice(LoadNotice(LoadPhase.STARTED, f"x{number}", f"e{number % 4}"))
+        registry.apply_notice(LoadNotice(LoadPhase.STARTED, f"x{number}", f"e{number % 4}"))
     reply = select(server, replace(demand, priority=2), "x")
     assert_that((reply.endpoint_id, reply.overload.in_flight), Equals(("", 40)))
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/statement_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/statement_sharing_test.py
@@ -7,7 +7,7 @@
 
 import pytest
 from springbridge.rates.statements import Statement
-from springbridge.routing.eligibility import Obstacle, obstacle
+from springbridge.routing.eligibility import ExclusionReason, exclusion_reason
 from springbridge.routing.records import EndpointIncarnation
 from springbridge.statements.leaving import PEERS_WORD_S
 from testtools.assertions import assert_that
@@ -30,12 +30,12 @@
 
 def leaving_of(instance):
     """Return what an instance knows of the first endpoint's leaving."""
-    return registry_of(instance).find("e0").said.leaving
+    return registry_of(instance).find("e0").statements.leaving
 
 
 def obstacle_at(instance):
     """Return what stands against the first endpoint at an instance."""
-    return obstacle(registry_of(instance).find("e0"), asyncio.get_running_loop().time())
+    return exclusion_reason(registry_of(instance).find("e0"), asyncio.get_running_loop().time())
 
 
 async def let_leave(fleet):
@@ -71,7 +71,7 @@
 def test_an_instance_that_starts_is_told_who_leaves(with_instances):
     async def body(fleet):
         for instance in fleet.instances:
-            registry_of(instance).heard_leaving(ONE)
+            registry_of(instance).mark_leaving(ONE)
         fleet.restart(5, 0.5)
         await asyncio.sleep(2.0)
         assert_that(leaving_of(fleet.instances[5]).is_known, Is(True))
@@ -84,7 +84,7 @@
         instance = fleet.instances[0]
         told = ToldStatements(ONE, NO_RATE, leaves=True)
         instance.parts.sharing.merge(told, "10.0.0.9:1")
-        assert_that(obstacle_at(instance), Is(Obstacle.SAID_TO_LEAVE))
+        assert_that(obstacle_at(instance), Is(ExclusionReason.REPORTED_LEAVING))
         assert_that(len(registry_of(instance).candidates("model", ())), Equals(1))
         await asyncio.sleep(PEERS_WORD_S / 2)
         # A peer that goes on telling does not keep it there.
@@ -123,7 +123,7 @@
     async def body(fleet):
         fleet.instances[0].parts.sharing.heard_rest(ONE, 3.0)
         await asyncio.sleep(KNOWN_S)
-        hinted = [obstacle_at(each) is Obstacle.RESTS_FROM_PEER for each in fleet.instances]
+        hinted = [obstacle_at(each) is ExclusionReason.REPORTED_RESTING for each in fleet.instances]
         assert_that(sum(hinted), Equals(20))
         # The only endpoint is used all the same.
         assert_that(len(registry_of(fleet.instances[5]).candidates("model", ())), Equals(1))
--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -4,7 +4,7 @@
 
 from springbridge.routing import giving_up, retries
 from springbridge.routing.endpoint_choice import Choice
-from springbridge.routing.retries import End
+from springbridge.routing.retries import AttemptOutcome
 
 from springbridge_node import clock
 from springbridge_node.gateway.http.http_connection import HttpConnection
@@ -25,7 +25,7 @@
     connection: HttpConnection,
     codec: RequestCodec,
     heard: Callable[[Verdict, float], None],
-) -> End:
+) -> AttemptOutcome:
     """Send a request to the chosen endpoint, pass its answer on, and return how that ended.
 
     Args:
@@ -48,9 +48,9 @@
             return await _turned_away(exchange, connection, head, verdict)
         return await _take_answer(exchange, connection, head, verdict, codec)
     except AnswerBrokenError:
-        return End.BROKEN
+        return AttemptOutcome.BROKEN
     except SilentError:
-        return End.SILENT
+        return AttemptOutcome.SILENT
 
 
 def _send(
@@ -81,13 +81,17 @@
 
 async def _turned_away(
     exchange: Exchange, connection: HttpConnection, head: Head, verdict: Verdict
-) -> End:
+) -> AttemptOutcome:
     """Read the answer of an endpoint that promises not to have run the request."""
     await read_whole(connection, head)
     if verdict.other_endpoint:
         exchange.progress.misdirected += 1
-        return End.OTHER_ENDPOINT
-    return End.TURNED_AWAY if verdict.statements.rest_s is None else End.ASKED_REST
+        return AttemptOutcome.OTHER_ENDPOINT
+    return (
+        AttemptOutcome.TURNED_AWAY
+        if verdict.statements.rest_s is None
+        else AttemptOutcome.ASKED_REST
+    )
 
 
 async def _take_answer(
@@ -96,12 +100,16 @@
     head: Head,
     verdict: Verdict,
     codec: RequestCodec,
-) -> End:
+) -> AttemptOutcome:
     """Pass an answer on, or hold back a failure that another endpoint may do better."""
     if not exchange.route.streaming and exchange.progress.load is not None:
         exchange.progress.load.read()
     if giving_up.holds_failure(exchange.route, head.status):
         exchange.progress.failure = HeldFailure(head, await read_whole(connection, head))
-        return End.ENDPOINT_ERROR if verdict.statements.rest_s is None else End.ASKED_REST
+        return (
+            AttemptOutcome.ENDPOINT_ERROR
+            if verdict.statements.rest_s is None
+            else AttemptOutcome.ASKED_REST
+        )
     await relay(exchange, connection, head, codec)
-    return End.DELIVERED
+    return AttemptOutcome.DELIVERED
--- a/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
@@ -53,7 +53,7 @@
             endpoint=state.entry.endpoint_id,
             in_flight=state.in_flight,
             prefill_tokens=state.prefill_tokens,
-            kept_tokens=state.cache.kept_tokens(demand.prompt_parts),
+            kept_tokens=state.cache.cached_tokens(demand.prompt_parts),
             source=choice.source.entry.endpoint_id if choice.source else "",
             coordinator=choice.coordinator,
             sent_s=sent_s,
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
@@ -15,7 +15,7 @@
 from springbridge.routing import giving_up
 from springbridge.routing.endpoint_choice import Choice
 from springbridge.routing.endpoint_state import EndpointState
-from springbridge.routing.retries import End
+from springbridge.routing.retries import AttemptOutcome
 from springbridge.trials import Answer
 
 from springbridge_node import clock
@@ -31,7 +31,7 @@
 # a request takes.
 LOOK_S = 0.1
 # Ends after which the endpoint went on, so that the request does not end endpoints.
-GOOD_ENDS = frozenset({End.DELIVERED, End.ENDPOINT_ERROR})
+GOOD_ENDS = frozenset({AttemptOutcome.DELIVERED, AttemptOutcome.ENDPOINT_ERROR})
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,11 +165,11 @@
                     fingerprint_of(exchange), clearance.trial, exchange.demand.service
                 )
 
-    async def note_end(self, exchange: Exchange, state: EndpointState, end: End) -> bool:
+    async def note_end(self, exchange: Exchange, state: EndpointState, end: AttemptOutcome) -> bool:
         """Record what an attempt showed of its request, and return whether its endpoint ended."""
         if end in GOOD_ENDS and len(self._records):
             self._acquit(exchange)
-        if end is not End.BROKEN:
+        if end is not AttemptOutcome.BROKEN:
             return False
         on_trial = exchange.progress.on_trial
 
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
@@ -8,7 +8,7 @@
 from springbridge.quarantine import Quarantine
 from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.records import EndpointEntry, Route, WeightedService
-from springbridge.routing.retries import End
+from springbridge.routing.retries import AttemptOutcome
 from springbridge.trials import GRANTED, Answer, Permission
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is, Not
@@ -141,7 +141,7 @@
 
     async def body():
         with gate.attempt(exchange, await gate.clear(exchange, choice_of("i-1"))):
-            await gate.note_end(exchange, state_of("i-1"), End.BROKEN)
+            await gate.note_end(exchange, state_of("i-1"), AttemptOutcome.BROKEN)
 
     asyncio.run(body())
     assert_that(peers.stored, Equals([NAME]))
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -8,7 +8,7 @@
 from springbridge.problems import Problem
 from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.records import Arrival
-from springbridge.routing.retries import End
+from springbridge.routing.retries import AttemptOutcome
 
 from springbridge_node import clock, logs
 from springbridge_node.gateway.requests.exchange import ChosenEndpoint, Exchange
@@ -56,7 +56,7 @@
             reason=problem.detail,
         )
 
-    def attempt_failed(self, exchange: Exchange, endpoint_id: str, end: End) -> None:
+    def attempt_failed(self, exchange: Exchange, endpoint_id: str, end: AttemptOutcome) -> None:
         """Log an attempt that did not deliver an answer."""
         self._telemetry.attempts.labels(end.value).inc()
         logs.event(
@@ -70,7 +70,7 @@
             after_ms=_age_ms(exchange),
         )
 
-    def endpoint_ejected(self, state: EndpointState, end: End) -> None:
+    def endpoint_ejected(self, state: EndpointState, end: AttemptOutcome) -> None:
         """Log that an endpoint was ejected after failures in a row."""
         logs.event(
             "engine.rests",
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rest_refusals.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rest_refusals.py
@@ -21,7 +21,7 @@
         resting = self._registry.resting(service)
         if not resting:
             return None
-        first_s = min(state.said.rest.until_s for state in resting)
+        first_s = min(state.statements.rest.until_s for state in resting)
         before = self._refused.get(service, 0)
         self._refused[service] = before + 1
         self._telemetry.rest_refusals.inc()
--- a/packages/springbridge-node/springbridge_node/gateway/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -20,7 +20,7 @@
 from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.giving_up import FinalAnswer
 from springbridge.routing.records import Demand
-from springbridge.routing.retries import ENDPOINT_FAILURES, End
+from springbridge.routing.retries import ENDPOINT_FAILURES, AttemptOutcome
 from springbridge.routing.shared_retry_budget import SharedRetryBudget
 
 from springbridge_node import clock
@@ -109,7 +109,7 @@
 
     async def _serve_admitted(self, exchange: Exchange) -> None:
         """Serve a request that the configuration allows, and log its end in any case."""
-        self._parts.budget.note_request(exchange.demand.service)
+        self._parts.budget.record_request(exchange.demand.service)
         self._parts.usage.sent(exchange.admitted)
         ending = CALLER_LEFT
         try:
@@ -138,7 +138,7 @@
             if selection.overload is not None:
                 return giving_up.when_overloaded(selection.overload)
             chosen = selection.choice
-            progress.last_resort = chosen is not None and chosen.state.said.leaving.is_certain
+            progress.last_resort = chosen is not None and chosen.state.statements.leaving.is_certain
             clearance = await self._parts.gate.clear(exchange, selection.choice)
             if clearance.problem is not None:
                 return clearance.problem
@@ -148,12 +148,14 @@
                 outcome = await self._send(exchange, selection.choice)
             if isinstance(outcome, Problem):
                 return outcome
-            if outcome is End.DELIVERED:
+            if outcome is AttemptOutcome.DELIVERED:
                 return None
             if outcome is not None and not retries.may_try_another(route, exchange.attempts()):
                 return giving_up.after_failed_attempt(route, exchange.attempts(), outcome)
 
-    async def _send(self, exchange: Exchange, choice: Choice | None) -> End | Problem | None:
+    async def _send(
+        self, exchange: Exchange, choice: Choice | None
+    ) -> AttemptOutcome | Problem | None:
         """Send the request to the selected endpoint and return how that ended.
 
         Returns:
@@ -171,7 +173,7 @@
     def _without_endpoint(self, exchange: Exchange) -> Problem:
         """Return the problem of a request for which no endpoint was found."""
         route, attempts = exchange.route, exchange.attempts()
-        exchange.progress.obstacles = self._parts.registry.obstacles(exchange.demand.service)
+        exchange.progress.obstacles = self._parts.registry.exclusion_counts(exchange.demand.service)
         spent = self._parts.rates.gate.spent(exchange)
         if spent is not None:
             return giving_up.when_rates_spent(route, attempts, spent)
@@ -180,7 +182,9 @@
             return giving_up.when_all_rest(route, attempts, rest)
         return giving_up.without_endpoint(route, attempts)
 
-    async def _send_permitted(self, exchange: Exchange, choice: Choice) -> End | Problem | None:
+    async def _send_permitted(
+        self, exchange: Exchange, choice: Choice
+    ) -> AttemptOutcome | Problem | None:
         """Send the request to an endpoint that takes it; see _send for what is returned."""
         with self._retry(exchange) as may_send:
             if not may_send:
@@ -209,7 +213,7 @@
             yield may_send
         finally:
             if may_send and sends and exchange.progress.sends == sends:
-                self._parts.budget.give_back(exchange.demand.service)
+                self._parts.budget.refund(exchange.demand.service)
 
     def _may_send(self, exchange: Exchange) -> bool:
         """Return whether the request may go to one more endpoint; a retry uses up the budget."""
@@ -240,7 +244,9 @@
         exchange.progress.tried.add(endpoint_id)
         return None
 
-    async def _attempt(self, exchange: Exchange, choice: Choice, connection: HttpConnection) -> End:
+    async def _attempt(
+        self, exchange: Exchange, choice: Choice, connection: HttpConnection
+    ) -> AttemptOutcome:
         """Send the request to one endpoint, pass on its answer, and record how that ended.
 
         No await may come before the send; see `attempt._send`.
@@ -248,7 +254,7 @@
         incarnation = choice.state.entry.incarnation
         chosen = ChosenEndpoint.from_choice(choice, exchange.demand, clock.now_s())
         exchange.progress.chosen.append(chosen)
-        self._parts.registry.sends(choice.state)
+        self._parts.registry.record_send(choice.state)
         try:
             began = partial(self._parts.usage.began, exchange.admitted)
             with self._parts.loads.attempt(choice, exchange.demand, began) as load:
@@ -261,21 +267,21 @@
         except BaseException:
             self._parts.pool.discard(incarnation, connection)
             raise
-        if end in (End.BROKEN, End.SILENT):
+        if end in (AttemptOutcome.BROKEN, AttemptOutcome.SILENT):
             self._parts.pool.discard(incarnation, connection)
         else:
             self._parts.pool.release(incarnation, connection)
         self._record(exchange, choice.state, end)
         return end
 
-    def _record(self, exchange: Exchange, state: EndpointState, end: End) -> None:
+    def _record(self, exchange: Exchange, state: EndpointState, end: AttemptOutcome) -> None:
         """Note what an attempt showed of its endpoint, and log it unless it delivered."""
-        if end is End.DELIVERED:
-            self._parts.registry.succeeded(state)
+        if end is AttemptOutcome.DELIVERED:
+            self._parts.registry.record_success(state)
             return
-        if end is End.OTHER_ENDPOINT:
+        if end is AttemptOutcome.OTHER_ENDPOINT:
             self._parts.loads.gone(state.entry)
-        elif end in ENDPOINT_FAILURES and self._parts.registry.failed(state):
+        elif end in ENDPOINT_FAILURES and self._parts.registry.record_failure(state):
             self._parts.request_log.endpoint_ejected(state, end)
         self._parts.request_log.attempt_failed(exchange, state.entry.endpoint_id, end)
 
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
@@ -63,6 +63,6 @@
 
     def _heard_leaving(self, entry: EndpointEntry, request_id: str) -> None:
         """Note that an endpoint leaves."""
-        if self._registry.heard_leaving(entry.incarnation):
+        if self._registry.mark_leaving(entry.incarnation):
             log_leaving(entry.endpoint_id, ANSWER, request_id)
             self._sharing.heard_leaving(entry.incarnation)
--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -60,8 +60,8 @@
     Mutant(
         "the grace of lapsed entries ends with the time to drain",
         f"{LIBRARY}/routing/eligibility.py",
-        "return leaving.within_bound_s(LAPSE_GRACE_S, drain_s)",
-        "return LAPSE_GRACE_S",
+        "return leaving.within_bound_s(MASS_LAPSE_GRACE_S, drain_s)",
+        "return MASS_LAPSE_GRACE_S",
         f"{ELIGIBILITY}::test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over",
     ),
     Mutant(
@@ -169,8 +169,8 @@
     Mutant(
         "the urgent wait longer than the less urgent",
         f"{LIBRARY}/routing/overload.py",
-        "return min(self.most_s, max(self.least_s, self.targets * target_s))",
-        "return self.targets * target_s",
+        "return min(self.max_s, max(self.min_s, self.target_multiple * target_s))",
+        "return self.target_multiple * target_s",
         f"{LIBRARY}/routing/overload_test.py"
         "::test_a_more_urgent_request_waits_longer_whatever_the_targets",
     ),
--- a/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
@@ -25,7 +25,7 @@
     Mutant(
         "leaving: the word outlasts the entry",
         f"{LIBRARY}/routing/endpoint_registry.py",
-        "EndpointState(entry, said=said)",
+        "EndpointState(entry, statements=said)",
         "EndpointState(entry)",
         f"{ROUTING}::test_a_lapse_and_the_return_of_the_entry_do_not_revive_it",
     ),
@@ -74,7 +74,7 @@
     Mutant(
         "rest: one request goes first",
         f"{NODE}/gateway/requests/router.py",
-        "        self._parts.registry.sends(choice.state)\n",
+        "        self._parts.registry.record_send(choice.state)\n",
         "",
         f"{REST}::test_at_the_end_of_a_rest_one_request_goes_first",
     ),
@@ -88,8 +88,10 @@
     Mutant(
         "rest: it is no failure",
         f"{NODE}/gateway/requests/attempt.py",
-        "return End.TURNED_AWAY if verdict.statements.rest_s is None else End.ASKED_REST",
-        "return End.TURNED_AWAY",
+        "        AttemptOutcome.TURNED_AWAY\n"
+        "        if verdict.statements.rest_s is None\n"
+        "        else AttemptOutcome.ASKED_REST\n",
+        "        AttemptOutcome.TURNED_AWAY\n",
         f"{REST}::test_a_wish_for_rest_is_no_failure_and_takes_nothing_from_others",
     ),
     Mutant(
@@ -102,7 +104,7 @@
     Mutant(
         "a retry that is not sent goes back to the budget",
         f"{NODE}/gateway/requests/router.py",
-        "                self._parts.budget.give_back(exchange.demand.service)\n",
+        "                self._parts.budget.refund(exchange.demand.service)\n",
         "                pass\n",
         f"{REST}::test_a_retry_that_is_not_sent_goes_back_to_the_budget",
     ),
--- a/packages/springbridge-standins/springbridge_standins/rates/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/fleet.py
@@ -135,12 +135,12 @@
                 return
             endpoint = min(free, key=lambda each: (self.sent[each.entry.endpoint_id], id(each)))
             state = states[endpoint.entry.endpoint_id]
-            last_resort = state.said.leaving.is_certain
+            last_resort = state.statements.leaving.is_certain
             if not await self.gate.may_send(exchange, endpoint.entry):
                 continue
             await self._thawed()
             if self.registry.may_get_request(state, last_resort):
-                self.registry.sends(state)
+                self.registry.record_send(state)
                 await self._send(endpoint, began_s)
                 return
 
--- a/packages/springbridge/springbridge/routing/admission.py
+++ b/packages/springbridge/springbridge/routing/admission.py
@@ -91,28 +91,28 @@
 def admit(
     index: RouteIndex | None,
     arrival: Arrival,
-    configuration_due_s: float,
+    config_retry_after_s: float,
 ) -> Result[Admitted, Problem]:
     """Return the admitted request, or the problem for which it is refused.
 
     Args:
       index: The newest configuration, or None while the instance has none.
-      configuration_due_s: Retry-After in seconds if there is no configuration.
+      config_retry_after_s: Retry-After in seconds if there is no configuration.
     """
     if index is None:
         detail = "no configuration yet"
-        return Failure(Problem(Code.CONFIG_NOT_FRESH, detail, retry_after_s=configuration_due_s))
+        return Failure(Problem(Code.CONFIG_NOT_FRESH, detail, retry_after_s=config_retry_after_s))
     route = find_route(index, arrival.host, arrival.path)
     if route is None:
         return Failure(Problem(Code.UNKNOWN_PATH, "no route"))
     customer = index.customers_by_key.get(arrival.key) if arrival.key else None
-    if customer is None and _needs_customer(index, route):
+    if customer is None and _needs_key(index, route):
         return Failure(Problem(Code.UNKNOWN_KEY, "no customer has this key"))
     return Success(
         Admitted(
             arrival=arrival,
             route=route,
-            service=_service(index, route, arrival.request_id),
+            service=_service_or_default(index, route, arrival.request_id),
             customer=customer.name if customer else "",
             priority=_priority(route, customer),
             version=index.configuration.version,
@@ -121,7 +121,7 @@
     )
 
 
-def _needs_customer(index: RouteIndex, route: Route) -> bool:
+def _needs_key(index: RouteIndex, route: Route) -> bool:
     """Return whether the request needs a customer's key.
 
     Without customers no key is required, unless the operators keep an (empty) list of customers.
@@ -130,7 +130,7 @@
     return route.needs_key and (configuration.keeps_customers or bool(configuration.customers))
 
 
-def _service(index: RouteIndex, route: Route, request_id: str) -> Service:
+def _service_or_default(index: RouteIndex, route: Route, request_id: str) -> Service:
     """Return the service for a request, with defaults if the configuration does not describe it."""
     name = pick_service(route, request_id)
     service = index.configuration.services.get(name)
@@ -146,7 +146,7 @@
 
 def _deadline_s(route: Route, arrival: Arrival) -> float:
     """Return the request's deadline in seconds of the monotonic clock."""
-    patience_s = route.timeout_s
-    if arrival.patience_s is not None:
-        patience_s = min(patience_s, arrival.patience_s)
-    return arrival.arrived_s + patience_s
+    timeout_s = route.timeout_s
+    if arrival.caller_timeout_s is not None:
+        timeout_s = min(timeout_s, arrival.caller_timeout_s)
+    return arrival.arrived_s + timeout_s
--- a/packages/springbridge/springbridge/routing/admission_test.py
+++ b/packages/springbridge/springbridge/routing/admission_test.py
@@ -62,10 +62,12 @@
 
 
 @pytest.mark.parametrize(
-    ("patience_s", "deadline_s"), [(None, 1003.0), (1.0, 1001.0), (9.0, 1003.0)]
+    ("caller_timeout_s", "deadline_s"), [(None, 1003.0), (1.0, 1001.0), (9.0, 1003.0)]
 )
-def test_the_deadline_is_the_earlier_of_caller_and_route(patience_s, deadline_s):
-    found = admit(index_of(make_route()), make_arrival(patience_s=patience_s), DUE_S).unwrap()
+def test_the_deadline_is_the_earlier_of_caller_and_route(caller_timeout_s, deadline_s):
+    found = admit(
+        index_of(make_route()), make_arrival(caller_timeout_s=caller_timeout_s), DUE_S
+    ).unwrap()
     assert_that(found.deadline_s, Equals(deadline_s))
 
 
--- a/packages/springbridge/springbridge/routing/ejection_test.py
+++ b/packages/springbridge/springbridge/routing/ejection_test.py
@@ -10,7 +10,7 @@
 def test_failures_in_a_row_make_an_engine_rest(registry, clock):
     state = registry.find("a")
     for _ in range(FAILURES_TO_EJECT):
-        registry.failed(state)
+        registry.record_failure(state)
     assert_that(usable_ids(registry), Equals(["b", "c", "d"]))
     clock.advance(EJECT_S)
     assert_that(usable_ids(registry), Equals(["a", "b", "c", "d"]))
--- a/packages/springbridge/springbridge/routing/eligibility.py
+++ b/packages/springbridge/springbridge/routing/eligibility.py
@@ -25,13 +25,13 @@
 # Seconds for which endpoints stay usable after a mass lapse. According to the platform, live
 # endpoints are listed again within about two seconds, and no endpoint may get a request 2 s after
 # it left (the default of drain_s).
-LAPSE_GRACE_S = 1.9
+MASS_LAPSE_GRACE_S = 1.9
 # Age of the list in seconds above which the store counts as having been down: twice the interval
 # of half a second at which the list is read.
-OUTAGE_S = 1.0
+OUTAGE_LIST_AGE_S = 1.0
 
 
-class Obstacle(Enum):
+class ExclusionReason(Enum):
     """Why an endpoint gets no request, in the order of the checks; the values are logged."""
 
     NOT_LISTED = "not listed"
@@ -41,12 +41,14 @@
     RESTING = "resting"
     LEAVING = "leaving"
     EJECTED = "ejected"
-    SAID_TO_LEAVE = "said to leave by a peer"
-    RESTS_FROM_PEER = "rests from a peer"
+    REPORTED_LEAVING = "said to leave by a peer"
+    REPORTED_RESTING = "rests from a peer"
 
 
 # Reasons for which an endpoint is used only if the service has no endpoint without any reason.
-BEHIND = frozenset({Obstacle.EJECTED, Obstacle.SAID_TO_LEAVE, Obstacle.RESTS_FROM_PEER})
+DEPRIORITIZING_REASONS = frozenset(
+    {ExclusionReason.EJECTED, ExclusionReason.REPORTED_LEAVING, ExclusionReason.REPORTED_RESTING}
+)
 
 
 def candidates(
@@ -63,18 +65,18 @@
       now_s: The current time in seconds of the monotonic clock.
       drain_s: Seconds for which an endpoint may get requests after announcing that it leaves.
     """
-    free, behind, last = [], [], []
+    eligible, deprioritized, last_resort = [], [], []
     for state in states:
         if state.entry.service != service or state.entry.endpoint_id in tried:
             continue
-        found = obstacle(state, now_s)
-        if found is None:
-            free.append(state)
-        elif found in BEHIND:
-            behind.append(state)
-        elif found is Obstacle.LEAVING and _is_last_resort(state, drain_s, now_s):
-            last.append(state)
-    return free or behind or last
+        reason = exclusion_reason(state, now_s)
+        if reason is None:
+            eligible.append(state)
+        elif reason in DEPRIORITIZING_REASONS:
+            deprioritized.append(state)
+        elif reason is ExclusionReason.LEAVING and _is_last_resort(state, drain_s, now_s):
+            last_resort.append(state)
+    return eligible or deprioritized or last_resort
 
 
 def may_get_request(
@@ -85,39 +87,39 @@
     Args:
       last_resort: Whether it was chosen although it is leaving, as there was no other endpoint.
     """
-    found = obstacle(state, now_s)
-    if found is Obstacle.LEAVING:
+    reason = exclusion_reason(state, now_s)
+    if reason is ExclusionReason.LEAVING:
         return last_resort and _is_last_resort(state, drain_s, now_s)
-    return found is None or found in BEHIND
+    return reason is None or reason in DEPRIORITIZING_REASONS
 
 
-def obstacle(state: EndpointState, now_s: float) -> Obstacle | None:
+def exclusion_reason(state: EndpointState, now_s: float) -> ExclusionReason | None:
     """Return the first reason to exclude an endpoint, None if there is none."""
     if state.usable_until_s <= now_s:
-        return Obstacle.NOT_LISTED
+        return ExclusionReason.NOT_LISTED
     if state.entry.draining:
-        return Obstacle.DRAINING
+        return ExclusionReason.DRAINING
     if state.evacuated:
-        return Obstacle.EVACUATED
+        return ExclusionReason.EVACUATED
     if not state.reachable:
-        return Obstacle.UNREACHABLE
-    said = state.said
+        return ExclusionReason.UNREACHABLE
+    said = state.statements
     if said.rest is not None and not rests.may_send(said.rest, now_s):
-        return Obstacle.RESTING
+        return ExclusionReason.RESTING
     if said.leaving.is_certain:
-        return Obstacle.LEAVING
+        return ExclusionReason.LEAVING
     if state.ejected_until_s > now_s:
-        return Obstacle.EJECTED
+        return ExclusionReason.EJECTED
     if leaving.is_likely(said.leaving, now_s):
-        return Obstacle.SAID_TO_LEAVE
+        return ExclusionReason.REPORTED_LEAVING
     if said.behind_until_s > now_s:
-        return Obstacle.RESTS_FROM_PEER
+        return ExclusionReason.REPORTED_RESTING
     return None
 
 
 def _is_last_resort(state: EndpointState, drain_s: float, now_s: float) -> bool:
     """Return whether a leaving endpoint may still be used if its service has no other."""
-    return leaving.is_last_resort(state.said.leaving, drain_s, now_s)
+    return leaving.is_last_resort(state.statements.leaving, drain_s, now_s)
 
 
 def avoided(states: Iterable[EndpointState], service: str, now_s: float) -> list[str]:
@@ -132,7 +134,7 @@
         if state.entry.service == service
         and not state.entry.draining
         and not state.evacuated
-        and obstacle(state, now_s) is not None
+        and exclusion_reason(state, now_s) is not None
     ]
 
 
@@ -142,7 +144,7 @@
     Args:
       drain_s: Seconds after which an endpoint that has left must get no more requests.
     """
-    return leaving.within_bound_s(LAPSE_GRACE_S, drain_s)
+    return leaving.within_bound_s(MASS_LAPSE_GRACE_S, drain_s)
 
 
 def lapsed_services(known: Iterable[EndpointEntry], listed: Collection[str]) -> set[str]:
--- a/packages/springbridge/springbridge/routing/eligibility_test.py
+++ b/packages/springbridge/springbridge/routing/eligibility_test.py
@@ -7,7 +7,7 @@
 from springbridge.routing import eligibility
 from springbridge.routing.conftest import SERVICE, make_snapshot, usable_ids
 from springbridge.routing.ejection import FAILURES_TO_EJECT
-from springbridge.routing.eligibility import LAPSE_GRACE_S, OUTAGE_S
+from springbridge.routing.eligibility import MASS_LAPSE_GRACE_S, OUTAGE_LIST_AGE_S
 from springbridge.routing.endpoint_registry import EndpointRegistry
 
 
@@ -19,16 +19,16 @@
 def test_one_engine_that_vanished_over_an_outage_gets_nothing(registry, clock):
     # Guards against taking the removal of one endpoint during an outage of the store for a lapse of
     # the list: the instance would send it requests for seconds.
-    clock.advance(OUTAGE_S + 2.0)
+    clock.advance(OUTAGE_LIST_AGE_S + 2.0)
     registry.install(make_snapshot(2, "a", "b", "c"), {}, 0.0)
     assert_that(usable_ids(registry), Equals(["a", "b", "c"]))
 
 
 def test_engines_that_all_vanished_over_an_outage_stay_usable_for_a_grace(registry, clock):
-    clock.advance(OUTAGE_S + 2.0)
+    clock.advance(OUTAGE_LIST_AGE_S + 2.0)
     registry.install(make_snapshot(2), {}, 0.0)
     assert_that(usable_ids(registry), Equals(["a", "b", "c", "d"]))
-    clock.advance(LAPSE_GRACE_S)
+    clock.advance(MASS_LAPSE_GRACE_S)
     assert_that(usable_ids(registry), Equals([]))
 
 
@@ -37,7 +37,7 @@
     # After an instance has read that an endpoint left, it must stop using it even in an outage.
     registry = EndpointRegistry(clock, drain_s)
     registry.install(make_snapshot(1, "a", "b"), {}, 0.0)
-    clock.advance(OUTAGE_S + 2.0)
+    clock.advance(OUTAGE_LIST_AGE_S + 2.0)
     registry.install(make_snapshot(2), {}, 0.0)
     clock.advance(drain_s - 0.05)
     assert_that(usable_ids(registry), Equals([]))
@@ -49,17 +49,17 @@
 
 
 def test_a_lapsed_engine_that_is_listed_again_is_as_before(registry, clock):
-    clock.advance(OUTAGE_S + 2.0)
+    clock.advance(OUTAGE_LIST_AGE_S + 2.0)
     registry.install(make_snapshot(2), {}, 0.0)
     registry.install(make_snapshot(3, "a"), {}, 0.0)
-    clock.advance(LAPSE_GRACE_S)
+    clock.advance(MASS_LAPSE_GRACE_S)
     assert_that(usable_ids(registry), Equals(["a"]))
 
 
 def test_resting_engines_are_used_when_there_is_no_other(registry):
     for name in "abcd":
         for _ in range(FAILURES_TO_EJECT):
-            registry.failed(registry.find(name))
+            registry.record_failure(registry.find(name))
     assert_that(usable_ids(registry), Equals(["a", "b", "c", "d"]))
 
 
@@ -67,17 +67,17 @@
     # Guards against requests that wait for connections and are refused late if no endpoint is
     # reachable.
     for name in "abcd":
-        registry.unreachable(registry.find(name))
+        registry.mark_unreachable(registry.find(name))
     assert_that(usable_ids(registry), Equals([]))
     assert_that(
         [state.entry.endpoint_id for state in registry.unreachable_endpoints()], HasLength(4)
     )
-    registry.reached(registry.find("b"))
+    registry.mark_reachable(registry.find("b"))
     assert_that(usable_ids(registry), Equals(["b"]))
 
 
 def test_an_engine_whose_address_another_has_gets_nothing(registry):
-    registry.gone(registry.find("b"))
+    registry.mark_gone(registry.find("b"))
     assert_that(usable_ids(registry), Equals(["a", "c", "d"]))
 
 
@@ -106,6 +106,6 @@
 def test_what_an_instance_avoids_is_ejected_or_unreachable_and_not_draining(registry):
     registry.install(make_snapshot(2, "a", "b", "c", draining=("d",)), {}, 0.0)
     for _ in range(FAILURES_TO_EJECT):
-        registry.failed(registry.find("b"))
-    registry.unreachable(registry.find("c"))
+        registry.record_failure(registry.find("b"))
+    registry.mark_unreachable(registry.find("c"))
     assert_that(sorted(registry.avoided(SERVICE)), Equals(["b", "c"]))
--- a/packages/springbridge/springbridge/routing/endpoint_choice.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice.py
@@ -54,8 +54,8 @@
     coordinator: str = ""
 
 
-# The endpoints that may get a request, what it demands, the moment in seconds of the clock that the
-# states are kept by, and endpoints that get no request any more but still give what they keep.
+# Parameters: the eligible endpoints, the request's demand, the current time in seconds of the clock
+# that the states use, and leaving endpoints, which get no requests but still serve cached parts.
 Chooser = Callable[[Sequence[EndpointState], Demand, float, Sequence[EndpointState]], Choice]
 
 
@@ -111,40 +111,42 @@
     if not parts:
         return least_in_flight(states, demand, now_s)
     reserved = reserved_endpoints(states, now_s)
-    kept = _kept_tokens(states, parts, reserved)
+    cached = _cached_tokens(states, parts, reserved)
     prompt = prefixes(parts)
-    known = kept | {state.entry.endpoint_id: state.cache.kept_of(prompt) for state in leaving}
+    known = cached | {
+        state.entry.endpoint_id: state.cache.cached_tokens_of(prompt) for state in leaving
+    }
     source = max((*states, *leaving), key=lambda state: known[state.entry.endpoint_id])
-    most = known[source.entry.endpoint_id] if demand.fetches else 0
-    best = _preferred(_cheapest(states, demand, reserved, kept, most), parts)
-    if not is_worth_fetching(kept[best.entry.endpoint_id], most):
+    max_cached = known[source.entry.endpoint_id] if demand.fetches else 0
+    best = _preferred(_cheapest(states, demand, reserved, cached, max_cached), parts)
+    if not is_worth_fetching(cached[best.entry.endpoint_id], max_cached):
         return Choice(best)
-    return Choice(best, source, source.cache.kept_tokens(parts))
+    return Choice(best, source, source.cache.cached_tokens(parts))
 
 
 def _cheapest(
     states: Sequence[EndpointState],
     demand: Demand,
     reserved: frozenset[str],
-    kept: dict[str, int],
-    most: int,
+    cached: dict[str, int],
+    max_cached: int,
 ) -> list[EndpointState]:
     """Return the endpoints whose cost falls into the lowest step.
 
     Args:
-      kept: Prompt tokens that each endpoint has probably cached.
-      most: The largest number of them at any endpoint; 0 if nothing can be fetched.
+      cached: Prompt tokens that each endpoint has probably cached.
+      max_cached: The largest number of them at any endpoint; 0 if nothing can be fetched.
     """
     steps = []
     for state in states:
         name = state.entry.endpoint_id
-        cost = token_cost(state, demand, name in reserved, kept[name], most)
+        cost = token_cost(state, demand, name in reserved, cached[name], max_cached)
         steps.append(cost // COST_STEP)
     least = min(steps)
     return [state for state, step in zip(states, steps, strict=True) if step == least]
 
 
-def _kept_tokens(
+def _cached_tokens(
     states: Sequence[EndpointState], parts: tuple[PromptPart, ...], reserved: frozenset[str]
 ) -> dict[str, int]:
     """Return how many tokens of a prompt each endpoint has probably cached.
@@ -153,14 +155,14 @@
     preferred endpoint is assumed to: all instances send them there first.
     """
     prompt = prefixes(parts)
-    kept = {state.entry.endpoint_id: state.cache.kept_of(prompt) for state in states}
+    cached = {state.entry.endpoint_id: state.cache.cached_tokens_of(prompt) for state in states}
     shared_tokens = sum(part.tokens for part in parts[:-1])
-    if shared_tokens < LEAST_FETCH_TOKENS or max(kept.values()) >= shared_tokens:
-        return kept
+    if shared_tokens < LEAST_FETCH_TOKENS or max(cached.values()) >= shared_tokens:
+        return cached
     general = [state for state in states if state.entry.endpoint_id not in reserved]
     preferred = _preferred(general or states, parts).entry.endpoint_id
-    kept[preferred] = max(kept[preferred], round(PREFERRED_KEPT_SHARE * shared_tokens))
-    return kept
+    cached[preferred] = max(cached[preferred], round(PREFERRED_KEPT_SHARE * shared_tokens))
+    return cached
 
 
 def _preferred(states: Sequence[EndpointState], parts: tuple[PromptPart, ...]) -> EndpointState:
--- a/packages/springbridge/springbridge/routing/endpoint_choice_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice_test.py
@@ -24,11 +24,11 @@
 def start(registry, endpoint, attempt="a", parts=LONG):
     prompt_parts = tuple(PromptPart(name, tokens) for name, tokens in parts)
     tokens = sum(part.tokens for part in prompt_parts)
-    registry.take_notice(LoadNotice(LoadPhase.STARTED, attempt, endpoint, tokens, prompt_parts))
+    registry.apply_notice(LoadNotice(LoadPhase.STARTED, attempt, endpoint, tokens, prompt_parts))
 
 
 def finish(registry, endpoint, attempt="a"):
-    registry.take_notice(LoadNotice(LoadPhase.ENDED, attempt, endpoint))
+    registry.apply_notice(LoadNotice(LoadPhase.ENDED, attempt, endpoint))
 
 
 def chosen(registry, parts, failure_domain=HERE, **fields):
@@ -99,7 +99,7 @@
 def test_an_engine_that_has_read_a_prompt_is_no_longer_behind(endpoints):
     start(endpoints, "e1", "a", LONG)
     assert_that(endpoints.find("e1").prefill_tokens, Equals(16_000))
-    endpoints.take_notice(LoadNotice(LoadPhase.READ, "a", "e1"))
+    endpoints.apply_notice(LoadNotice(LoadPhase.READ, "a", "e1"))
     assert_that(endpoints.find("e1").prefill_tokens, Equals(0))
     assert_that(endpoints.find("e1").in_flight, Equals(1))
     finish(endpoints, "e1")
--- a/packages/springbridge/springbridge/routing/endpoint_cost.py
+++ b/packages/springbridge/springbridge/routing/endpoint_cost.py
@@ -38,32 +38,32 @@
 
 
 def token_cost(
-    state: EndpointState, demand: Demand, is_reserved: bool, own: int, most: int
+    state: EndpointState, demand: Demand, is_reserved: bool, own_cached: int, max_cached: int
 ) -> float:
     """Return the cost of a request at an endpoint, in prompt tokens.
 
     Args:
       is_reserved: Whether the endpoint is reserved for short prompts.
-      own: Prompt tokens that the endpoint has cached.
-      most: The largest number that any endpoint has cached; 0 if nothing can be fetched.
+      own_cached: Prompt tokens that the endpoint has cached.
+      max_cached: The largest number that any endpoint has cached; 0 if nothing can be fetched.
     """
     return (
         _backlog_cost(state.prefill_tokens)
         + _batch_cost(state)
         + _failure_domain_cost(state, demand)
         + reservation_cost(state, is_reserved, demand.prompt_tokens)
-        + _prompt_cost(demand, own, most)
+        + _prompt_cost(demand, own_cached, max_cached)
     )
 
 
-def is_worth_fetching(own: int, most: int) -> bool:
+def is_worth_fetching(own_cached: int, max_cached: int) -> bool:
     """Return whether to fetch prompt parts from another endpoint, given the tokens cached by each.
 
     Args:
-      own: Tokens that the endpoint itself has cached.
-      most: Tokens that the other endpoint has cached.
+      own_cached: Tokens that the endpoint itself has cached.
+      max_cached: Tokens that the other endpoint has cached.
     """
-    return most - own >= LEAST_FETCH_TOKENS
+    return max_cached - own_cached >= LEAST_FETCH_TOKENS
 
 
 def fetch_weight(target_s: float) -> float:
@@ -91,8 +91,8 @@
     return CROSS_DOMAIN_SHARE * demand.prompt_tokens
 
 
-def _prompt_cost(demand: Demand, own: int, most: int) -> float:
+def _prompt_cost(demand: Demand, own_cached: int, max_cached: int) -> float:
     """Return the cost of reading or fetching the prompt tokens that the endpoint has not cached."""
-    fetched = most - own if is_worth_fetching(own, most) else 0
-    unread = max(0, demand.prompt_tokens - own - fetched)
+    fetched = max_cached - own_cached if is_worth_fetching(own_cached, max_cached) else 0
+    unread = max(0, demand.prompt_tokens - own_cached - fetched)
     return UNREAD_WEIGHT * unread + fetch_weight(demand.target_s) * fetched
--- a/packages/springbridge/springbridge/routing/endpoint_registry.py
+++ b/packages/springbridge/springbridge/routing/endpoint_registry.py
@@ -12,7 +12,7 @@
 
 from springbridge.routing import eligibility
 from springbridge.routing.ejection import ejection_s
-from springbridge.routing.eligibility import Obstacle
+from springbridge.routing.eligibility import ExclusionReason
 from springbridge.routing.endpoint_state import LISTED, EndpointState, leaving_by_service
 from springbridge.routing.listed_entries import (
     fingerprint_of,
@@ -30,7 +30,7 @@
 
 # Seconds after which the list shows whether an endpoint that has just come back is cold: endpoints
 # write their entries every second, and readers take another half second.
-COLD_NEWS_S = 2.0
+COLD_FLAG_DELAY_S = 2.0
 
 
 class EndpointRegistry:
@@ -98,7 +98,7 @@
         went_back = era_of(snapshot.revision) > era_of(max(0, self._revision))
         if went_back:
             self._older_lists.went_back()
-        after_outage = went_back or self.age_s() > eligibility.OUTAGE_S + age_s
+        after_outage = went_back or self.age_s() > eligibility.OUTAGE_LIST_AGE_S + age_s
         self._revision = snapshot.revision
         self._fingerprint = fingerprint_of(snapshot)
         self._read_s = self._clock() - age_s
@@ -120,11 +120,11 @@
             state = self._states.get(endpoint_id)
             if state is None or has_started_again(state.entry, entry):
                 said = self.statements.of(entry.incarnation)
-                state = self._states[endpoint_id] = EndpointState(entry, said=said)
+                state = self._states[endpoint_id] = EndpointState(entry, statements=said)
                 changed = True
             elif state.entry != with_known_start(entry, state.entry):
                 state.entry = with_known_start(entry, state.entry)
-                self.statements.keep_under(state.entry.incarnation, state.said)
+                self.statements.keep_under(state.entry.incarnation, state.statements)
                 changed = True
             state.usable_until_s = LISTED
             state.evacuated = state.entry.failure_domain in self._evacuated
@@ -146,16 +146,16 @@
                 may_live = state.entry.service in lapsed and not state.is_leaving
                 state.usable_until_s = now_s + (self._lapse_grace_s if may_live else 0.0)
                 if not after_outage:
-                    self._older_lists.left(endpoint_id)
+                    self._older_lists.record_departure(endpoint_id)
                 changed = True
             if state.usable_until_s <= now_s and not state.in_flight:
                 del self._states[endpoint_id]
         return changed
 
-    def evacuate(self, failure_domains: frozenset[str]) -> None:
+    def set_evacuated_domains(self, failure_domains: frozenset[str]) -> None:
         """Exclude the endpoints of the evacuated failure domains, and include all others again."""
         self._evacuated = failure_domains
-        perhaps_cold_until_s = self._clock() + COLD_NEWS_S
+        perhaps_cold_until_s = self._clock() + COLD_FLAG_DELAY_S
         for state in self._states.values():
             is_evacuated = state.entry.failure_domain in failure_domains
             if state.evacuated and not is_evacuated:
@@ -176,14 +176,16 @@
         return [
             state
             for state in self._states.values()
-            if state.is_listed and not state.is_leaving and not is_likely(state.said.leaving, now_s)
+            if state.is_listed
+            and not state.is_leaving
+            and not is_likely(state.statements.leaving, now_s)
         ]
 
     def known_incarnations(self) -> set[EndpointIncarnation]:
         """Return the incarnations of all endpoints that are listed or have running requests."""
         return {state.entry.incarnation for state in self._states.values()}
 
-    def usual_speed(self, service: str) -> float:
+    def mean_reading_speed(self, service: str) -> float:
         """Return the mean speed at which endpoints of a service read prompts, in tokens/s."""
         speeds = [
             state.speed.tokens_per_s
@@ -235,22 +237,22 @@
             state
             for state in self._states.values()
             if state.entry.service == service
-            and eligibility.obstacle(state, now_s) is Obstacle.RESTING
+            and eligibility.exclusion_reason(state, now_s) is ExclusionReason.RESTING
         ]
 
-    def obstacles(self, service: str) -> dict[str, int]:
+    def exclusion_counts(self, service: str) -> dict[str, int]:
         """Return how many endpoints of a service are excluded, by the value of the reason."""
         now_s = self._clock()
         states = [each for each in self._states.values() if each.entry.service == service]
-        found = Counter(eligibility.obstacle(state, now_s) for state in states)
-        return {each.value: found[each] for each in Obstacle if found[each]}
+        found = Counter(eligibility.exclusion_reason(state, now_s) for state in states)
+        return {each.value: found[each] for each in ExclusionReason if found[each]}
 
-    def sends(self, state: EndpointState) -> None:
+    def record_send(self, state: EndpointState) -> None:
         """Record that a request is sent to an endpoint now, which updates its rest, if any."""
-        if state.said.rest is not None:
-            state.said.rest = rests.after_send(state.said.rest, self._clock())
+        if state.statements.rest is not None:
+            state.statements.rest = rests.after_send(state.statements.rest, self._clock())
 
-    def heard_leaving(self, incarnation: EndpointIncarnation) -> bool:
+    def mark_leaving(self, incarnation: EndpointIncarnation) -> bool:
         """Record an endpoint's statement that it is leaving; return whether that is new."""
         if not self.statements.heard_leaving(incarnation):
             return False
@@ -266,41 +268,41 @@
             if not state.reachable
             and not state.evacuated
             and state.usable_until_s > now_s
-            and not state.said.wants_nothing(now_s)
+            and not state.statements.wants_nothing(now_s)
         ]
 
-    def take_notice(self, notice: LoadNotice) -> None:
+    def apply_notice(self, notice: LoadNotice) -> None:
         """Apply a load notice of this instance or a peer; ignored for unknown endpoints."""
         state = self._states.get(notice.endpoint_id)
         if state is None:
             return
         match notice.phase:
             case LoadPhase.STARTED:
-                state.started(notice, self._clock())
+                state.record_start(notice, self._clock())
             case LoadPhase.READ:
-                state.read(notice.attempt_id, self._clock())
+                state.record_prompt_read(notice.attempt_id, self._clock())
             case LoadPhase.ENDED:
-                state.ended(notice.attempt_id)
+                state.record_end(notice.attempt_id)
             case LoadPhase.UNREACHED if is_about(notice, state.entry):
-                self.unreachable(state)
+                self.mark_unreachable(state)
             case LoadPhase.GONE if is_about(notice, state.entry):
-                self.gone(state)
+                self.mark_gone(state)
 
     def expire_loads(self) -> None:
         """Drop loads that are too old, as the notice of their end was probably lost."""
         for state in self._states.values():
             state.expire_loads(self._clock())
 
-    def keep_loads_of(self, incarnations: Set[str]) -> None:
+    def drop_loads_except(self, incarnations: Set[str]) -> None:
         """Drop the loads of all instances except the given incarnations, which are alive."""
         for state in self._states.values():
-            state.keep_loads_of(incarnations)
+            state.drop_loads_except(incarnations)
 
-    def succeeded(self, state: EndpointState) -> None:
+    def record_success(self, state: EndpointState) -> None:
         """Record that an endpoint answered correctly, which resets its count of failures."""
         state.failures = 0
 
-    def failed(self, state: EndpointState) -> bool:
+    def record_failure(self, state: EndpointState) -> bool:
         """Record that an endpoint failed a request; return whether it is ejected for that."""
         state.failures += 1
         seconds = ejection_s(state.failures)
@@ -309,17 +311,17 @@
         state.ejected_until_s = self._clock() + seconds
         return True
 
-    def unreachable(self, state: EndpointState) -> None:
+    def mark_unreachable(self, state: EndpointState) -> None:
         """Record that connecting to an endpoint failed."""
         state.reachable = False
 
-    def reached(self, state: EndpointState) -> None:
+    def mark_reachable(self, state: EndpointState) -> None:
         """Record that connecting to an endpoint succeeded."""
         if not state.reachable:
-            state.perhaps_cold_until_s = self._clock() + COLD_NEWS_S
+            state.perhaps_cold_until_s = self._clock() + COLD_FLAG_DELAY_S
         state.reachable = True
 
-    def gone(self, state: EndpointState) -> None:
+    def mark_gone(self, state: EndpointState) -> None:
         """Record that an endpoint has ended, as another one now answers at its address.
 
         It gets no request until a list is installed that still contains it.
--- a/packages/springbridge/springbridge/routing/endpoint_registry_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_registry_test.py
@@ -29,10 +29,10 @@
 
 
 def test_an_endpoint_that_is_no_longer_listed_is_known_until_its_requests_end(registry):
-    registry.take_notice(LoadNotice(LoadPhase.STARTED, "me/1", "a"))
+    registry.apply_notice(LoadNotice(LoadPhase.STARTED, "me/1", "a"))
     registry.install(make_snapshot(2, "b", "c", "d"), {}, 0.0)
     assert_that(known_ids(registry), Equals({"a", "b", "c", "d"}))
-    registry.take_notice(LoadNotice(LoadPhase.ENDED, "me/1", "a"))
+    registry.apply_notice(LoadNotice(LoadPhase.ENDED, "me/1", "a"))
     registry.install(make_snapshot(3, "b", "c", "d"), {}, 0.0)
     assert_that(known_ids(registry), Equals({"b", "c", "d"}))
 
@@ -46,7 +46,7 @@
     registry.install(EndpointSnapshot(1, (staying, leaving)), {}, 0.0)
     assert_that([state.entry for state in registry.leaving("model")], Equals([leaving]))
     assert_that(registry.leaving("desk"), Equals([]))
-    registry.unreachable(registry.find("e-2"))
+    registry.mark_unreachable(registry.find("e-2"))
     assert_that(registry.leaving("model"), Equals([]))
     registry.install(EndpointSnapshot(2, (staying,)), {}, 0.0)
     assert_that(registry.leaving("model"), Equals([]))
--- a/packages/springbridge/springbridge/routing/endpoint_restart_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_restart_test.py
@@ -18,7 +18,7 @@
 
 FIRST = EndpointEntry("e0", MODEL, "10.0.0.1:80", "perth-a", 64, False, born_ms=1000)
 SECOND = replace(FIRST, born_ms=2000)
-UNTOLD = replace(FIRST, born_ms=None)
+WITHOUT_START = replace(FIRST, born_ms=None)
 PROMPT = (PromptPart("p", 900),)
 
 
@@ -32,12 +32,12 @@
     """Return a registry of one endpoint that runs a request, has its prompt cached and fails."""
     registry = EndpointRegistry(clock)
     install(registry, 1, FIRST)
-    registry.take_notice(LoadNotice(LoadPhase.STARTED, "me/1", "e0", 900, PROMPT))
+    registry.apply_notice(LoadNotice(LoadPhase.STARTED, "me/1", "e0", 900, PROMPT))
     state = registry.find("e0")
     state.speed.tokens_per_s = USUAL_TOKENS_PER_S / 2
     for _ in range(5):
-        registry.failed(state)
-    registry.unreachable(state)
+        registry.record_failure(state)
+    registry.mark_unreachable(state)
     return registry
 
 
@@ -45,7 +45,7 @@
     assert_that(install(registry, 2, SECOND), Is(True))
     state = registry.find("e0")
     assert_that((state.in_flight, state.prefill_tokens, state.failures), Equals((0, 0, 0)))
-    assert_that(state.cache.kept_tokens(PROMPT), Equals(0))
+    assert_that(state.cache.cached_tokens(PROMPT), Equals(0))
     assert_that(state.speed.tokens_per_s, Equals(USUAL_TOKENS_PER_S))
     assert_that((state.reachable, state.ejected_until_s), Equals((True, 0.0)))
     assert_that([each.entry for each in registry.candidates(MODEL, ())], Equals([SECOND]))
@@ -53,39 +53,39 @@
 
 def test_what_ends_at_the_old_process_changes_nothing_at_the_new_one(registry):
     install(registry, 2, SECOND)
-    registry.take_notice(LoadNotice(LoadPhase.STARTED, "me/2", "e0", 900, PROMPT))
-    registry.take_notice(LoadNotice(LoadPhase.READ, "me/1", "e0"))
-    registry.take_notice(LoadNotice(LoadPhase.ENDED, "me/1", "e0"))
+    registry.apply_notice(LoadNotice(LoadPhase.STARTED, "me/2", "e0", 900, PROMPT))
+    registry.apply_notice(LoadNotice(LoadPhase.READ, "me/1", "e0"))
+    registry.apply_notice(LoadNotice(LoadPhase.ENDED, "me/1", "e0"))
     state = registry.find("e0")
     assert_that((state.in_flight, state.prefill_tokens), Equals((1, 900)))
 
 
 @pytest.mark.parametrize("phase", [LoadPhase.UNREACHED, LoadPhase.GONE])
-def test_news_of_the_old_process_leaves_the_new_one_in_use(registry, phase):
+def test_a_notice_about_the_old_process_leaves_the_new_one_in_use(registry, phase):
     install(registry, 2, SECOND)
-    registry.take_notice(endpoint_notice(phase, FIRST))
+    registry.apply_notice(endpoint_notice(phase, FIRST))
     assert_that([each.entry for each in registry.candidates(MODEL, ())], Equals([SECOND]))
-    registry.take_notice(endpoint_notice(phase, SECOND))
+    registry.apply_notice(endpoint_notice(phase, SECOND))
     assert_that(registry.candidates(MODEL, ()), Equals([]))
 
 
 @pytest.mark.parametrize("phase", [LoadPhase.UNREACHED, LoadPhase.GONE])
-def test_news_that_tells_no_start_counts_for_the_process_that_is_listed(registry, phase):
+def test_a_notice_without_a_start_time_applies_to_the_listed_process(registry, phase):
     install(registry, 2, SECOND)
-    registry.take_notice(LoadNotice(phase, "", "e0"))
+    registry.apply_notice(LoadNotice(phase, "", "e0"))
     assert_that(registry.candidates(MODEL, ()), Equals([]))
 
 
 def test_a_list_without_starts_changes_no_process(registry):
     before = registry.find("e0")
-    assert_that(install(registry, 2, UNTOLD), Is(False))
+    assert_that(install(registry, 2, WITHOUT_START), Is(False))
     assert_that(registry.find("e0"), Is(before))
     assert_that(before.entry, Equals(FIRST))
 
 
 def test_a_start_that_becomes_known_changes_no_process(clock):
     registry = EndpointRegistry(clock)
-    install(registry, 1, UNTOLD)
+    install(registry, 1, WITHOUT_START)
     before = registry.find("e0")
     install(registry, 2, FIRST)
     assert_that(registry.find("e0"), Is(before))
--- a/packages/springbridge/springbridge/routing/endpoint_state.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state.py
@@ -21,7 +21,7 @@
 # fuller than it is after the notice of a request's end was lost.
 LONGEST_LOAD_S = 20.0
 # Seconds after which a prompt no longer counts as unread. It bounds the same for the backlog and
-# must stay below LOAD_EXPIRY_S: a prompt is read before its request ends.
+# must stay below LONGEST_LOAD_S: a prompt is read before its request ends.
 LONGEST_READ_S = 8.0
 assert LONGEST_READ_S < LONGEST_LOAD_S
 
@@ -75,7 +75,7 @@
     perhaps_cold_until_s: float = 0.0
     evacuated: bool = False
     cache: PrefixCache = field(default_factory=PrefixCache)
-    said: EndpointStatements = field(default_factory=EndpointStatements)
+    statements: EndpointStatements = field(default_factory=EndpointStatements)
 
     @property
     def is_listed(self) -> bool:
@@ -85,7 +85,7 @@
     @property
     def is_leaving(self) -> bool:
         """Return whether its entry, or one of its own answers, says that it is leaving."""
-        return self.entry.draining or self.said.leaving.is_certain
+        return self.entry.draining or self.statements.leaving.is_certain
 
     def is_cold(self, now_s: float) -> bool:
         """Return whether it is or may be cold."""
@@ -101,47 +101,47 @@
         """Return the estimated seconds to read the prompts that are still unread."""
         return self.prefill_tokens / self.speed.tokens_per_s
 
-    def started(self, notice: LoadNotice, now_s: float) -> None:
+    def record_start(self, notice: LoadNotice, now_s: float) -> None:
         """Add a request to the load; a second notice of the same attempt is ignored."""
         if notice.attempt_id in self.loads:
             return
-        kept = max(self.cache.kept_tokens(notice.prompt_parts), notice.fetched_tokens)
-        prefill = max(0, notice.prompt_tokens - kept)
-        self.cache.note(notice.prompt_parts)
+        cached = max(self.cache.cached_tokens(notice.prompt_parts), notice.fetched_tokens)
+        prefill = max(0, notice.prompt_tokens - cached)
+        self.cache.add(notice.prompt_parts)
         load = Load(prefill, now_s, is_short(notice.prompt_tokens))
         self.loads[notice.attempt_id] = load
-        self._prompt_load(load).started(prefill, now_s)
+        self._prompt_load(load).record_start(prefill, now_s)
         self.prefill_tokens += prefill
         if prefill:
-            self.speed.has_work(now_s)
+            self.speed.start_sample(now_s)
 
-    def read(self, attempt_id: str, now_s: float) -> None:
+    def record_prompt_read(self, attempt_id: str, now_s: float) -> None:
         """Record that the endpoint has read the prompt of an attempt."""
-        self.speed.was_read(self._drop_prefill(attempt_id), now_s)
+        self.speed.record_read(self._drop_prefill(attempt_id), now_s)
         self._note_idle()
 
-    def ended(self, attempt_id: str) -> None:
+    def record_end(self, attempt_id: str) -> None:
         """Remove an attempt from the load, whether its prompt was read or not."""
         self._drop_prefill(attempt_id)
         load = self.loads.pop(attempt_id, None)
         if load is not None:
-            self._prompt_load(load).ended()
+            self._prompt_load(load).record_end()
         self._note_idle()
 
     def expire_loads(self, now_s: float) -> None:
         """Drop loads that are too old, as the notice of their end was probably lost."""
         for attempt_id, load in list(self.loads.items()):
             if load.since_s < now_s - LONGEST_LOAD_S:
-                self.ended(attempt_id)
+                self.record_end(attempt_id)
             elif load.since_s < now_s - LONGEST_READ_S:
                 self._drop_prefill(attempt_id)
         self._note_idle()
 
-    def keep_loads_of(self, incarnations: Set[str]) -> None:
+    def drop_loads_except(self, incarnations: Set[str]) -> None:
         """Drop the loads of all instances except the given incarnations, which are alive."""
         for attempt_id in list(self.loads):
             if incarnation_of(attempt_id) not in incarnations:
-                self.ended(attempt_id)
+                self.record_end(attempt_id)
 
     def _prompt_load(self, load: Load) -> PromptLoad:
         """Return the PromptLoad that counts a request, by the size of its prompt."""
@@ -150,7 +150,7 @@
     def _note_idle(self) -> None:
         """End the sample of the reading speed if no prompt is unread any more."""
         if not self.prefill_tokens:
-            self.speed.is_idle()
+            self.speed.end_sample()
 
     def _drop_prefill(self, attempt_id: str) -> int:
         """Mark an attempt's prompt as read; return the tokens that were still unread."""
--- a/packages/springbridge/springbridge/routing/endpoint_state_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state_test.py
@@ -5,7 +5,7 @@
 from testtools.matchers import Equals, GreaterThan
 
 from springbridge.routing.endpoint_state import LONGEST_LOAD_S, LONGEST_READ_S, EndpointState
-from springbridge.routing.load_notices import LoadNotice, LoadPhase, attempt_name
+from springbridge.routing.load_notices import LoadNotice, LoadPhase, make_attempt_id
 from springbridge.routing.prompt_load import SHORT_PROMPT_TOKENS
 from springbridge.routing.reading_speed import LEAST_SAMPLE_TOKENS, USUAL_TOKENS_PER_S
 from springbridge.routing.records import EndpointEntry
@@ -21,17 +21,17 @@
 
 
 def start(state, attempt_id, now_s, tokens=LONG_PROMPT):
-    state.started(LoadNotice(LoadPhase.STARTED, attempt_id, "e0", tokens), now_s)
+    state.record_start(LoadNotice(LoadPhase.STARTED, attempt_id, "e0", tokens), now_s)
 
 
 def test_the_backlog_is_what_is_still_to_read(state):
     start(state, "a", 0.0)
     start(state, "b", 0.0)
     assert_that(state.backlog_s, Equals(2 * ONE_S))
-    state.read("a", ONE_S)
+    state.record_prompt_read("a", ONE_S)
     assert_that((state.backlog_s, state.in_flight), Equals((ONE_S, 2)))
-    state.ended("a")
-    state.ended("b")
+    state.record_end("a")
+    state.record_end("b")
     assert_that((state.backlog_s, state.in_flight), Equals((0.0, 0)))
 
 
@@ -39,10 +39,10 @@
     start(state, "long", 0.0)
     start(state, "short", 0.0, SHORT_PROMPT_TOKENS)
     start(state, "short", 0.0, SHORT_PROMPT_TOKENS)
-    state.read("short", 0.1)
+    state.record_prompt_read("short", 0.1)
     assert_that((state.short.running, state.long.running), Equals((1, 1)))
-    state.ended("short")
-    state.ended("short")
+    state.record_end("short")
+    state.record_end("short")
     state.expire_loads(LONGEST_LOAD_S + 1)
     assert_that((state.short.running, state.long.running), Equals((0, 0)))
 
@@ -61,9 +61,9 @@
     if lost == "expired":
         state.expire_loads(LONGEST_READ_S + 1)
     else:
-        state.ended("lost")
+        state.record_end("lost")
     start(state, "later", 100.0)
-    state.read("later", 100.0 + ONE_S)
+    state.record_prompt_read("later", 100.0 + ONE_S)
     assert_that(round(state.speed.tokens_per_s), Equals(round(USUAL_TOKENS_PER_S)))
 
 
@@ -71,13 +71,13 @@
     start(state, "a", 0.0)
     start(state, "b", 0.0)
     before_s = state.backlog_s
-    state.read("a", ONE_S / 4)
+    state.record_prompt_read("a", ONE_S / 4)
     start(state, "c", ONE_S / 4)
     assert_that(before_s, GreaterThan(state.backlog_s))
 
 
 def test_the_load_of_a_silent_node_is_dropped(state):
-    start(state, attempt_name("me", 1), 0.0)
-    start(state, attempt_name("silent", 1), 0.0)
-    state.keep_loads_of({"me", "other"})
-    assert_that((set(state.loads), state.backlog_s), Equals(({attempt_name("me", 1)}, ONE_S)))
+    start(state, make_attempt_id("me", 1), 0.0)
+    start(state, make_attempt_id("silent", 1), 0.0)
+    state.drop_loads_except({"me", "other"})
+    assert_that((set(state.loads), state.backlog_s), Equals(({make_attempt_id("me", 1)}, ONE_S)))
--- a/packages/springbridge/springbridge/routing/evacuations.py
+++ b/packages/springbridge/springbridge/routing/evacuations.py
@@ -44,7 +44,7 @@
       changes: Domains and whether they are evacuated, in the order of the changes.
     """
 
-    whole: bool = False
+    is_complete: bool = False
     changes: tuple[tuple[str, bool], ...] = ()
 
 
@@ -76,10 +76,10 @@
         )
         return EvacuationReading(self._stamp, self._evacuated, lost)
 
-    def take_news(self, stamp: int, news: EvacuationNews) -> bool:
+    def take_news(self, stamp: int, update: EvacuationNews) -> bool:
         """Apply what was read from the store; return whether it was newer than the known state."""
-        evacuated = set() if news.whole else set(self._evacuated)
-        for domain, is_evacuated in news.changes:
+        evacuated = set() if update.is_complete else set(self._evacuated)
+        for domain, is_evacuated in update.changes:
             evacuated.add(domain) if is_evacuated else evacuated.discard(domain)
         return self.take(EvacuationReading(stamp, frozenset(evacuated)))
 
--- a/packages/springbridge/springbridge/routing/giving_up.py
+++ b/packages/springbridge/springbridge/routing/giving_up.py
@@ -17,7 +17,7 @@
 from springbridge.problems import Problem
 from springbridge.routing.overload import Overload
 from springbridge.routing.records import Route
-from springbridge.routing.retries import Attempts, End, is_repeatable
+from springbridge.routing.retries import AttemptOutcome, Attempts, is_repeatable
 from springbridge.routing.retry_after import (
     when_endpoint_full,
     while_endpoints_restart,
@@ -96,11 +96,11 @@
     return Problem(Code.OVERLOADED, detail, retry_after_s=overload.retry_after_s)
 
 
-def after_failed_attempt(route: Route, attempts: Attempts, end: End) -> Problem:
+def after_failed_attempt(route: Route, attempts: Attempts, end: AttemptOutcome) -> Problem:
     """Return the problem of a request whose last attempt failed and that may not be retried."""
     if attempts.may_have_run:
         return Problem(Code.ENGINE_FAILED, end.value)
-    return _turned_away(route, end.value)
+    return _refused_not_run(route, end.value)
 
 
 def without_endpoint(route: Route, attempts: Attempts) -> Problem:
@@ -108,10 +108,10 @@
     if attempts.may_have_run:
         return Problem(Code.ENGINE_FAILED, "no further engine")
     if attempts.sends:
-        return _turned_away(route, "no further engine")
+        return _refused_not_run(route, "no further engine")
     if attempts.busy:
         # A connection becomes free as soon as an answer ends, long before an endpoint restarts.
-        return _turned_away(route, "connections in use")
+        return _refused_not_run(route, "connections in use")
     return Problem(Code.NO_ENGINE, "no engine", retry_after_s=while_endpoints_restart())
 
 
@@ -168,9 +168,9 @@
     """Return the problem of a request that has reached its deadline."""
     if attempts.may_have_run:
         return Problem(Code.OUTCOME_UNKNOWN, "deadline")
-    return _turned_away(route, "deadline")
+    return _refused_not_run(route, "deadline")
 
 
-def _turned_away(route: Route, detail: str) -> Problem:
+def _refused_not_run(route: Route, detail: str) -> Problem:
     """Return the refusal of a request that no endpoint has run although there are endpoints."""
     return Problem(Code.NO_ENGINE, detail, retry_after_s=when_endpoint_full(route.target_s))
--- a/packages/springbridge/springbridge/routing/giving_up_test.py
+++ b/packages/springbridge/springbridge/routing/giving_up_test.py
@@ -10,7 +10,7 @@
 from springbridge.routing.conftest import make_route
 from springbridge.routing.giving_up import FinalAnswer
 from springbridge.routing.overload import Overload
-from springbridge.routing.retries import Attempts, End
+from springbridge.routing.retries import AttemptOutcome, Attempts
 
 # A target of 2 s: Retry-After is a tenth of it.
 ROUTE = make_route(target_s=2.0)
@@ -52,8 +52,8 @@
 @pytest.mark.parametrize(
     ("attempts", "end", "expected"),
     [
-        (NOT_RUN, End.TURNED_AWAY, (Code.NO_ENGINE, "turned away", 0.2, True)),
-        (MAY_HAVE_RUN, End.BROKEN, (Code.ENGINE_FAILED, "broken", None, False)),
+        (NOT_RUN, AttemptOutcome.TURNED_AWAY, (Code.NO_ENGINE, "turned away", 0.2, True)),
+        (MAY_HAVE_RUN, AttemptOutcome.BROKEN, (Code.ENGINE_FAILED, "broken", None, False)),
     ],
 )
 def test_after_a_failed_attempt_the_detail_says_how_it_ended(attempts, end, expected):
--- a/packages/springbridge/springbridge/routing/load_notices.py
+++ b/packages/springbridge/springbridge/routing/load_notices.py
@@ -16,7 +16,7 @@
 NAME_SEPARATOR = "/"
 
 
-def attempt_name(incarnation: str, count: int) -> str:
+def make_attempt_id(incarnation: str, count: int) -> str:
     """Return an id for an attempt of an instance, unique in the fleet.
 
     Args:
--- a/packages/springbridge/springbridge/routing/older_lists.py
+++ b/packages/springbridge/springbridge/routing/older_lists.py
@@ -28,14 +28,14 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         """Start with a store that was not restored; clock is monotonic, in seconds."""
         self._clock = clock
-        self._went_back_s = float("-inf")
+        self._rolled_back_s = float("-inf")
         self._left_s: dict[str, float] = {}
 
     def went_back(self) -> None:
         """Record that the store was restored from an older copy now."""
-        self._went_back_s = self._clock()
+        self._rolled_back_s = self._clock()
 
-    def left(self, endpoint_id: str) -> None:
+    def record_departure(self, endpoint_id: str) -> None:
         """Record that an endpoint has left the list while the store was up."""
         now_s = self._clock()
         self._left_s = {
@@ -54,7 +54,7 @@
           known: Returns the current entry of an endpoint by its id, None if there is none.
         """
         listed = {entry.endpoint_id: entry for entry in entries}
-        if self._clock() > self._went_back_s + SETTLED_S:
+        if self._clock() > self._rolled_back_s + SETTLED_S:
             return listed
         return {
             name: _as_known(entry, known(name))
--- a/packages/springbridge/springbridge/routing/older_lists_test.py
+++ b/packages/springbridge/springbridge/routing/older_lists_test.py
@@ -80,11 +80,11 @@
     assert_that(usable(registry), Equals(["e-1", "e-2", "e-3"]))
 
 
-def test_the_word_of_a_later_run_holds_though_an_older_copy_names_the_run_before(clock):
+def test_a_statement_of_a_later_run_holds_though_an_older_copy_has_the_earlier_run(clock):
     registry = EndpointRegistry(clock)
     leaving, other = entry("e-1", born_ms=2000), entry("e-2", born_ms=2000)
     registry.install(snapshot(0, 900, leaving, other), {}, 0.0)
-    registry.heard_leaving(leaving.incarnation)
+    registry.mark_leaving(leaving.incarnation)
     registry.install(snapshot(1, 700, entry("e-1", born_ms=1000), other), {}, 0.0)
     assert_that(usable(registry), Equals(["e-2"]))
     # A later incarnation is still taken as a new process.
--- a/packages/springbridge/springbridge/routing/overload.py
+++ b/packages/springbridge/springbridge/routing/overload.py
@@ -36,13 +36,13 @@
       max_s: Upper bound in seconds.
     """
 
-    targets: float
-    least_s: float
-    most_s: float
+    target_multiple: float
+    min_s: float
+    max_s: float
 
-    def seconds(self, target_s: float) -> float:
+    def limit_s(self, target_s: float) -> float:
         """Return the limit in seconds for a route with this target in seconds."""
-        return min(self.most_s, max(self.least_s, self.targets * target_s))
+        return min(self.max_s, max(self.min_s, self.target_multiple * target_s))
 
 
 # Limits on the backlog by priority, most urgent first.
@@ -52,7 +52,7 @@
     WaitLimit(0.15, 0.25, 0.6),
 )
 assert all(
-    urgent.least_s >= less_urgent.most_s for urgent, less_urgent in itertools.pairwise(WAIT_LIMITS)
+    urgent.min_s >= less_urgent.max_s for urgent, less_urgent in itertools.pairwise(WAIT_LIMITS)
 )
 
 
@@ -98,7 +98,7 @@
 def longest_wait_s(demand: Demand) -> float:
     """Return the longest backlog in seconds behind which this request is still sent."""
     limit = WAIT_LIMITS[_rank(demand.priority, len(WAIT_LIMITS))]
-    return limit.seconds(demand.target_s)
+    return limit.limit_s(demand.target_s)
 
 
 def _is_full(state: EndpointState, demand: Demand) -> bool:
--- a/packages/springbridge/springbridge/routing/overload_test.py
+++ b/packages/springbridge/springbridge/routing/overload_test.py
@@ -20,7 +20,7 @@
     """Give each endpoint count requests whose prompts have been read."""
     for name in names:
         for number in range(count):
-            registry.take_notice(LoadNotice(LoadPhase.STARTED, f"{name}-{number}", name))
+            registry.apply_notice(LoadNotice(LoadPhase.STARTED, f"{name}-{number}", name))
 
 
 def leave_behind(registry, backlog_s, names=ALL):
@@ -28,7 +28,7 @@
     for name in names:
         speed = registry.find(name).speed.tokens_per_s
         tokens = round(backlog_s * speed)
-        registry.take_notice(LoadNotice(LoadPhase.STARTED, f"{name}-behind", name, tokens))
+        registry.apply_notice(LoadNotice(LoadPhase.STARTED, f"{name}-behind", name, tokens))
 
 
 def refused(registry, target_s=TARGET_S):
@@ -90,7 +90,7 @@
     tokens = round(0.2 * registry.find("e0").speed.tokens_per_s)
     for name in ALL:
         registry.find(name).speed.tokens_per_s /= 2
-        registry.take_notice(LoadNotice(LoadPhase.STARTED, f"{name}-x", name, tokens))
+        registry.apply_notice(LoadNotice(LoadPhase.STARTED, f"{name}-x", name, tokens))
     assert_that(refused(registry), Equals([2, 5]))
 
 
--- a/packages/springbridge/springbridge/routing/prefix_cache.py
+++ b/packages/springbridge/springbridge/routing/prefix_cache.py
@@ -39,11 +39,11 @@
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
 
-    def kept_tokens(self, parts: tuple[PromptPart, ...]) -> int:
+    def cached_tokens(self, parts: tuple[PromptPart, ...]) -> int:
         """Return how many tokens from the beginning of a prompt are probably cached."""
-        return self.kept_of(prefixes(parts))
+        return self.cached_tokens_of(prefixes(parts))
 
-    def kept_of(self, prompt: Sequence[Prefix]) -> int:
+    def cached_tokens_of(self, prompt: Sequence[Prefix]) -> int:
         """Return the same for the prefixes of a prompt, computed once for many endpoints."""
         tokens = 0
         for prefix in prompt:
@@ -52,7 +52,7 @@
             tokens += prefix.last_tokens
         return tokens
 
-    def note(self, parts: tuple[PromptPart, ...]) -> None:
+    def add(self, parts: tuple[PromptPart, ...]) -> None:
         """Record that the endpoint gets a prompt and caches its parts."""
         if not self.capacity:
             return
--- a/packages/springbridge/springbridge/routing/prompt_load.py
+++ b/packages/springbridge/springbridge/routing/prompt_load.py
@@ -35,13 +35,13 @@
     recent_tokens: float = 0.0
     updated_s: float = 0.0
 
-    def started(self, unread_tokens: int, now_s: float) -> None:
+    def record_start(self, unread_tokens: int, now_s: float) -> None:
         """Add a request whose prompt has this number of tokens to read."""
         self.recent_tokens = self._weighted_tokens(now_s) + unread_tokens
         self.updated_s = now_s
         self.running += 1
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Record that a request has ended; its tokens stay in the average."""
         self.running -= 1
 
--- a/packages/springbridge/springbridge/routing/prompt_load_test.py
+++ b/packages/springbridge/springbridge/routing/prompt_load_test.py
@@ -4,7 +4,12 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from springbridge.routing.prompt_load import AVERAGE_S, SHORT_PROMPT_TOKENS, PromptLoad, is_short
+from springbridge.routing.prompt_load import (
+    AVERAGE_S,
+    SHORT_PROMPT_TOKENS,
+    PromptLoad,
+    is_short,
+)
 
 
 @pytest.mark.parametrize(
@@ -16,23 +21,23 @@
 
 def test_requests_that_started_and_did_not_end_are_running():
     load = PromptLoad()
-    load.started(100, 0.0)
-    load.started(100, 0.0)
-    load.ended()
+    load.record_start(100, 0.0)
+    load.record_start(100, 0.0)
+    load.record_end()
     assert_that(load.running, Equals(1))
 
 
 def test_a_steady_stream_of_prompts_is_seen_at_its_rate():
     load = PromptLoad()
     for step in range(1000):
-        load.started(50, step * 0.1)
+        load.record_start(50, step * 0.1)
     assert_that(round(load.tokens_per_s(100.0) / 500, 1), Equals(1.0))
 
 
 def test_what_was_read_long_ago_counts_for_little():
     load = PromptLoad()
-    load.started(1000, 0.0)
-    load.ended()
+    load.record_start(1000, 0.0)
+    load.record_end()
     at_once = load.tokens_per_s(0.0)
     assert_that(at_once, Equals(1000 / AVERAGE_S))
     assert_that(load.tokens_per_s(10 * AVERAGE_S) < at_once / 1000, Equals(True))
@@ -40,5 +45,5 @@
 
 def test_a_moment_before_the_last_start_adds_nothing():
     load = PromptLoad()
-    load.started(1000, 5.0)
+    load.record_start(1000, 5.0)
     assert_that(load.tokens_per_s(4.0), Equals(load.tokens_per_s(5.0)))
--- a/packages/springbridge/springbridge/routing/reading_speed.py
+++ b/packages/springbridge/springbridge/routing/reading_speed.py
@@ -34,30 +34,30 @@
         self._since_s: float | None = None
         self._tokens = 0
 
-    def has_work(self, now_s: float) -> None:
+    def start_sample(self, now_s: float) -> None:
         """Start a sample because a prompt waits to be read, unless one is in progress."""
         if self._since_s is None:
-            self._begin(now_s)
+            self._begin_sample(now_s)
 
-    def was_read(self, tokens: int, now_s: float) -> None:
+    def record_read(self, tokens: int, now_s: float) -> None:
         """Add the tokens of a prompt that has been read to the sample, if one is in progress."""
         if self._since_s is None:
             return
         self._tokens += tokens
         if self._tokens >= LEAST_SAMPLE_TOKENS and now_s > self._since_s:
-            self._take(self._tokens / (now_s - self._since_s))
-            self._begin(now_s)
+            self._update_estimate(self._tokens / (now_s - self._since_s))
+            self._begin_sample(now_s)
 
-    def is_idle(self) -> None:
+    def end_sample(self) -> None:
         """Discard the sample in progress because no prompt is waiting."""
         self._since_s = None
 
-    def _begin(self, now_s: float) -> None:
+    def _begin_sample(self, now_s: float) -> None:
         """Begin an empty sample."""
         self._since_s = now_s
         self._tokens = 0
 
-    def _take(self, sample: float) -> None:
+    def _update_estimate(self, sample: float) -> None:
         """Include a sample in tokens per second in the estimate."""
         bounded = min(MOST_TOKENS_PER_S, max(LEAST_TOKENS_PER_S, sample))
         self.tokens_per_s += NEW_SHARE * (bounded - self.tokens_per_s)
--- a/packages/springbridge/springbridge/routing/reading_speed_test.py
+++ b/packages/springbridge/springbridge/routing/reading_speed_test.py
@@ -17,10 +17,10 @@
 
 def read_steadily(speed, tokens_per_s, prompts=40, now_s=100.0):
     """Read prompts one after another at a speed."""
-    speed.has_work(now_s)
+    speed.start_sample(now_s)
     for _ in range(prompts):
         now_s += PROMPT / tokens_per_s
-        speed.was_read(PROMPT, now_s)
+        speed.record_read(PROMPT, now_s)
 
 
 @pytest.mark.parametrize("tokens_per_s", [10_000.0, 36_700.0, 90_000.0])
@@ -39,18 +39,18 @@
 
 def test_a_time_without_work_does_not_count():
     speed = ReadingSpeed()
-    speed.has_work(0.0)
-    speed.was_read(PROMPT, 0.25)
-    speed.is_idle()
-    speed.has_work(60.0)
-    speed.was_read(LEAST_SAMPLE_TOKENS, 60.5)
+    speed.start_sample(0.0)
+    speed.record_read(PROMPT, 0.25)
+    speed.end_sample()
+    speed.start_sample(60.0)
+    speed.record_read(LEAST_SAMPLE_TOKENS, 60.5)
     assert_that(speed.tokens_per_s, Equals(USUAL_TOKENS_PER_S))
 
 
 def test_a_single_short_prompt_is_no_sample():
     speed = ReadingSpeed()
-    speed.has_work(0.0)
-    speed.was_read(LEAST_SAMPLE_TOKENS - 1, 30.0)
+    speed.start_sample(0.0)
+    speed.record_read(LEAST_SAMPLE_TOKENS - 1, 30.0)
     assert_that(speed.tokens_per_s, Equals(USUAL_TOKENS_PER_S))
 
 
--- a/packages/springbridge/springbridge/routing/records.py
+++ b/packages/springbridge/springbridge/routing/records.py
@@ -232,7 +232,7 @@
     path: str
     key: str | None
     arrived_s: float
-    patience_s: float | None = None
+    caller_timeout_s: float | None = None
     prompt_parts: tuple[PromptPart, ...] = ()
     prompt_tokens: int = 0
     answer_tokens: int = 0
--- a/packages/springbridge/springbridge/routing/reserved_endpoints_test.py
+++ b/packages/springbridge/springbridge/routing/reserved_endpoints_test.py
@@ -34,12 +34,12 @@
     """Start count requests, each with an uncached prompt of this many tokens."""
     for number in range(count):
         attempt = f"{tokens}-{number}"
-        state.started(LoadNotice(LoadPhase.STARTED, attempt, "e0", tokens), NOW_S)
+        state.record_start(LoadNotice(LoadPhase.STARTED, attempt, "e0", tokens), NOW_S)
 
 
 def end(state, count, tokens):
     for number in range(count):
-        state.ended(f"{tokens}-{number}")
+        state.record_end(f"{tokens}-{number}")
 
 
 @pytest.mark.parametrize(("count", "reserved"), [(0, 0), (2, 0), (3, 1), (7, 1), (10, 2), (20, 4)])
--- a/packages/springbridge/springbridge/routing/retries.py
+++ b/packages/springbridge/springbridge/routing/retries.py
@@ -26,7 +26,7 @@
 SILENCE_SHARE = 0.5
 
 
-class End(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended; the values are logged and counted."""
 
     DELIVERED = "delivered"
@@ -41,7 +41,14 @@
 # Outcomes that count as failures of the endpoint. An endpoint that turns every request away never
 # has load, so it would otherwise look the cheapest for the next request. An endpoint that asks for
 # rest is given it and has not failed.
-ENDPOINT_FAILURES = frozenset({End.ENDPOINT_ERROR, End.BROKEN, End.SILENT, End.TURNED_AWAY})
+ENDPOINT_FAILURES = frozenset(
+    {
+        AttemptOutcome.ENDPOINT_ERROR,
+        AttemptOutcome.BROKEN,
+        AttemptOutcome.SILENT,
+        AttemptOutcome.TURNED_AWAY,
+    }
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/springbridge/springbridge/routing/selection_test.py
+++ b/packages/springbridge/springbridge/routing/selection_test.py
@@ -15,7 +15,7 @@
     for state in registry.candidates(MODEL, ()):
         for number in range(count):
             name = f"{state.entry.endpoint_id}-{number}"
-            registry.take_notice(LoadNotice(LoadPhase.STARTED, name, state.entry.endpoint_id))
+            registry.apply_notice(LoadNotice(LoadPhase.STARTED, name, state.entry.endpoint_id))
 
 
 def test_an_engine_that_was_tried_is_left_out(endpoints):
--- a/packages/springbridge/springbridge/routing/shared_retry_budget.py
+++ b/packages/springbridge/springbridge/routing/shared_retry_budget.py
@@ -48,7 +48,10 @@
     """
 
     def __init__(
-        self, terms: BudgetTerms, nodes: Callable[[], int], clock: Callable[[], float]
+        self,
+        limits: BudgetTerms,
+        live_instances: Callable[[], int],
+        clock: Callable[[], float],
     ) -> None:
         """Create a budget without requests or retries.
 
@@ -57,26 +60,26 @@
           live_instances: Returns the number of live instances.
           clock: Monotonic clock in seconds.
         """
-        self.terms = terms
-        self._nodes = nodes
+        self.limits = limits
+        self._live_instances = live_instances
         self._clock = clock
         self._windows: dict[str, _Window] = {}
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request; its first send takes nothing from the budget."""
         self._window(service).requests.append(self._clock())
 
     def try_retry(self, service: str) -> bool:
         """Take a retry from the budget; return False if it is exhausted."""
         window = self._window(service)
-        slack = self.terms.slack / max(1, self._nodes())
-        allowed = CAUTION * (self.terms.ratio * len(window.requests) + slack)
+        slack = self.limits.slack / max(1, self._live_instances())
+        allowed = CAUTION * (self.limits.ratio * len(window.requests) + slack)
         if len(window.retries) + 1 > allowed:
             return False
         window.retries.append(self._clock())
         return True
 
-    def give_back(self, service: str) -> None:
+    def refund(self, service: str) -> None:
         """Return the latest retry to the budget because it was not sent."""
         retries = self._window(service).retries
         if retries:
@@ -85,7 +88,7 @@
     def _window(self, service: str) -> _Window:
         """Return a service's window after dropping entries older than the window."""
         window = self._windows.setdefault(service, _Window())
-        oldest_s = self._clock() - self.terms.window_s
+        oldest_s = self._clock() - self.limits.window_s
         for moments in (window.requests, window.retries):
             while moments and moments[0] < oldest_s:
                 moments.popleft()
--- a/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
+++ b/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
@@ -5,7 +5,7 @@
 
 from springbridge.routing.shared_retry_budget import BudgetTerms, SharedRetryBudget
 
-TERMS = BudgetTerms(ratio=0.2, slack=50.0, window_s=10.0)
+LIMITS = BudgetTerms(ratio=0.2, slack=50.0, window_s=10.0)
 
 
 def taken(budget, tries):
@@ -13,23 +13,23 @@
 
 
 def test_the_sum_over_nodes_keeps_within_the_terms(clock):
-    budgets = [SharedRetryBudget(TERMS, lambda: 7, clock) for _ in range(7)]
+    budgets = [SharedRetryBudget(LIMITS, lambda: 7, clock) for _ in range(7)]
     for budget in budgets:
         for _ in range(20):
-            budget.note_request("desk")
+            budget.record_request("desk")
     total = sum(taken(budget, 100) for budget in budgets)
     assert_that(total, LessThan(0.2 * 140 + 50 + 1))
 
 
 def test_a_window_later_there_is_budget_again(clock):
-    budget = SharedRetryBudget(TERMS, lambda: 1, clock)
+    budget = SharedRetryBudget(LIMITS, lambda: 1, clock)
     first = taken(budget, 1000)
     assert_that(taken(budget, 10), Equals(0))
-    clock.advance(TERMS.window_s + 0.1)
+    clock.advance(LIMITS.window_s + 0.1)
     assert_that(taken(budget, 1000), Equals(first))
 
 
 def test_services_have_budgets_of_their_own(clock):
-    budget = SharedRetryBudget(TERMS, lambda: 1, clock)
+    budget = SharedRetryBudget(LIMITS, lambda: 1, clock)
     taken(budget, 1000)
     assert_that(budget.try_retry("model"), Equals(True))
--- a/packages/springbridge/springbridge/routing/statements_in_routing_test.py
+++ b/packages/springbridge/springbridge/routing/statements_in_routing_test.py
@@ -5,14 +5,14 @@
 
 from springbridge.routing.conftest import SERVICE, make_snapshot
 from springbridge.routing.ejection import FAILURES_TO_EJECT
-from springbridge.routing.eligibility import OUTAGE_S, Obstacle, obstacle
+from springbridge.routing.eligibility import OUTAGE_LIST_AGE_S, ExclusionReason, exclusion_reason
 from springbridge.statements.rests import TRIAL_S
 
 
 def leave(registry, *names):
     """Record the endpoints' statements that they are leaving."""
     for name in names:
-        registry.heard_leaving(registry.find(name).entry.incarnation)
+        registry.mark_leaving(registry.find(name).entry.incarnation)
 
 
 def rest(registry, name, seconds):
@@ -53,7 +53,7 @@
 def test_a_lapse_and_the_return_of_the_entry_do_not_revive_it(registry, clock):
     registry.install(make_snapshot(2, "a", "b"), {}, 0.0)
     leave(registry, "a")
-    clock.now_s += OUTAGE_S + 1.0
+    clock.now_s += OUTAGE_LIST_AGE_S + 1.0
     registry.install(make_snapshot(3), {}, 0.0)
     # The entry of b lapsed with the outage, while a has left.
     assert_that(candidates(registry), Equals(["b"]))
@@ -67,7 +67,7 @@
 def test_an_endpoint_that_rests_is_neither_candidate_nor_used_for_want_of_another(registry, clock):
     registry.install(make_snapshot(2, "a", "b"), {}, 0.0)
     for _ in range(FAILURES_TO_EJECT):
-        registry.failed(registry.find("b"))
+        registry.record_failure(registry.find("b"))
     rest(registry, "a", 3.0)
     assert_that(candidates(registry), Equals(["b"]))
     rest(registry, "b", 3.0)
@@ -83,40 +83,40 @@
     clock.now_s += 3.0
     state = registry.find("a")
     assert_that(registry.may_get_request(state), Is(True))
-    registry.sends(state)
+    registry.record_send(state)
     assert_that(registry.may_get_request(state), Is(False))
     assert_that(candidates(registry), Equals(["b"]))
     clock.now_s += TRIAL_S
     assert_that(candidates(registry), Equals(["a", "b"]))
 
 
-def test_obstacles_are_asked_in_their_order(registry, clock):
+def test_exclusion_reasons_are_checked_in_their_order(registry, clock):
     registry.install(make_snapshot(2, "a", "b"), {}, 0.0)
     state = registry.find("a")
-    assert_that(obstacle(state, clock.now_s), Is(None))
+    assert_that(exclusion_reason(state, clock.now_s), Is(None))
     registry.statements.told_leaving(state.entry.incarnation)
-    assert_that(obstacle(state, clock.now_s), Is(Obstacle.SAID_TO_LEAVE))
+    assert_that(exclusion_reason(state, clock.now_s), Is(ExclusionReason.REPORTED_LEAVING))
     for _ in range(FAILURES_TO_EJECT):
-        registry.failed(state)
-    assert_that(obstacle(state, clock.now_s), Is(Obstacle.EJECTED))
+        registry.record_failure(state)
+    assert_that(exclusion_reason(state, clock.now_s), Is(ExclusionReason.EJECTED))
     leave(registry, "a")
-    assert_that(obstacle(state, clock.now_s), Is(Obstacle.LEAVING))
+    assert_that(exclusion_reason(state, clock.now_s), Is(ExclusionReason.LEAVING))
     rest(registry, "a", 3.0)
-    assert_that(obstacle(state, clock.now_s), Is(Obstacle.RESTING))
-    registry.unreachable(state)
-    assert_that(obstacle(state, clock.now_s), Is(Obstacle.UNREACHABLE))
-    registry.evacuate(frozenset({"perth-a"}))
-    assert_that(obstacle(state, clock.now_s), Is(Obstacle.EVACUATED))
+    assert_that(exclusion_reason(state, clock.now_s), Is(ExclusionReason.RESTING))
+    registry.mark_unreachable(state)
+    assert_that(exclusion_reason(state, clock.now_s), Is(ExclusionReason.UNREACHABLE))
+    registry.set_evacuated_domains(frozenset({"perth-a"}))
+    assert_that(exclusion_reason(state, clock.now_s), Is(ExclusionReason.EVACUATED))
     registry.install(make_snapshot(3, "b", draining=("a",)), {}, 0.0)
-    assert_that(obstacle(state, clock.now_s), Is(Obstacle.DRAINING))
+    assert_that(exclusion_reason(state, clock.now_s), Is(ExclusionReason.DRAINING))
     registry.install(make_snapshot(4, "b"), {}, 0.0)
-    assert_that(obstacle(state, clock.now_s), Is(Obstacle.NOT_LISTED))
+    assert_that(exclusion_reason(state, clock.now_s), Is(ExclusionReason.NOT_LISTED))
 
 
 def test_an_endpoint_that_wants_nothing_is_not_probed(registry, clock):
     registry.install(make_snapshot(2, "a", "b", "c"), {}, 0.0)
     for name in ("a", "b", "c"):
-        registry.unreachable(registry.find(name))
+        registry.mark_unreachable(registry.find(name))
     leave(registry, "a")
     rest(registry, "b", 3.0)
     probed = [each.entry.endpoint_id for each in registry.unreachable_endpoints()]
@@ -127,21 +127,21 @@
 
 
 def test_endpoints_of_an_evacuated_domain_are_no_candidates_also_for_want_of_others(registry):
-    registry.evacuate(frozenset({"perth-a"}))
+    registry.set_evacuated_domains(frozenset({"perth-a"}))
     assert_that(candidates(registry), Equals([]))
     assert_that(registry.avoided(SERVICE), Equals([]))
     assert_that(registry.may_get_request(registry.find("a"), last_resort=True), Is(False))
-    registry.evacuate(frozenset())
+    registry.set_evacuated_domains(frozenset())
     assert_that(candidates(registry), Equals(["a", "b", "c", "d"]))
 
 
 def test_an_endpoint_that_comes_into_an_evacuated_domain_is_no_candidate(registry):
-    registry.evacuate(frozenset({"perth-a"}))
+    registry.set_evacuated_domains(frozenset({"perth-a"}))
     registry.install(make_snapshot(2, "e"), {}, 0.0)
     assert_that(candidates(registry), Equals([]))
 
 
 def test_an_unreachable_endpoint_of_an_evacuated_domain_is_not_probed(registry):
-    registry.unreachable(registry.find("a"))
-    registry.evacuate(frozenset({"perth-a"}))
+    registry.mark_unreachable(registry.find("a"))
+    registry.set_evacuated_domains(frozenset({"perth-a"}))
     assert_that(registry.unreachable_endpoints(), Equals([]))
--- a/packages/springbridge/springbridge/routing/store_freshness.py
+++ b/packages/springbridge/springbridge/routing/store_freshness.py
@@ -73,18 +73,18 @@
     DIFFERS = auto()
 
 
-def rank(me: str, live: Iterable[str]) -> int:
+def rank(own_incarnation: str, live: Iterable[str]) -> int:
     """Return how many live instances rank before this one as readers of the store.
 
     Rendezvous hashing gives the same order on every instance, so the readers need no agreement, and
     the loss of one moves only its own role.
 
     Args:
-      me: Incarnation of this instance.
+      own_incarnation: Incarnation of this instance.
       live: Incarnations of the instances that are running and not leaving.
     """
-    own_score = score(ROLE_KEY, me)
-    return sum(score(ROLE_KEY, name) > own_score for name in live if name != me)
+    own_score = score(ROLE_KEY, own_incarnation)
+    return sum(score(ROLE_KEY, name) > own_score for name in live if name != own_incarnation)
 
 
 def turn_s(own_rank: int, readers: int) -> float:
--- a/packages/springbridge/springbridge/routing/store_freshness_test.py
+++ b/packages/springbridge/springbridge/routing/store_freshness_test.py
@@ -104,5 +104,6 @@
 def test_an_unconfirmed_list_of_a_peer_proves_nothing_to_a_node_without_one():
     none_yet = SnapshotStatus(0, float("inf"))
     assert_that(
-        compare_with_peer(none_yet, SnapshotStatus(2, CONFIRMED_S)), Equals(PeerSnapshot.NO_HELP)
+        compare_with_peer(none_yet, SnapshotStatus(2, CONFIRMED_S)),
+        Equals(PeerSnapshot.NO_HELP),
     )
--- a/packages/springbridge/springbridge/routing/turned_away_test.py
+++ b/packages/springbridge/springbridge/routing/turned_away_test.py
@@ -15,17 +15,17 @@
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.load_notices import LoadPhase
 from springbridge.routing.records import EndpointEntry, EndpointSnapshot
-from springbridge.routing.retries import ENDPOINT_FAILURES, End
+from springbridge.routing.retries import ENDPOINT_FAILURES, AttemptOutcome
 from springbridge.routing.selection import select, start_notice
 
 ENDPOINTS = 30
 REQUESTS = 900
-MOST_ENDPOINTS = 2
+MAX_ENDPOINTS = 2
 REQUESTS_PER_S = 60
 RUNS_S = 0.5
 # Share of the requests that may be refused. Until a broken endpoint has failed three times, and
 # once whenever it is tried again, a request may meet two of them. Without ejection 91% are refused.
-MOST_REFUSED = 0.05
+MAX_REFUSED_SHARE = 0.05
 BROKEN = {f"e{number}" for number in range(0, ENDPOINTS, 3)}
 
 
@@ -45,18 +45,18 @@
     """Send one request to up to MAX_ENDPOINTS endpoints, and return whether one accepted it."""
     demand = make_demand((("shared", 0), (f"own-{number}", 900)))
     tried = set()
-    for attempt in range(MOST_ENDPOINTS):
+    for attempt in range(MAX_ENDPOINTS):
         choice = select(registry, demand, tried, by_token_cost).choice
         state = choice.state
         tried.add(state.entry.endpoint_id)
         if state.entry.endpoint_id not in BROKEN:
             notice = start_notice(choice, demand, f"me/{number}-{attempt}")
-            registry.take_notice(notice)
-            registry.succeeded(state)
+            registry.apply_notice(notice)
+            registry.record_success(state)
             running.append((clock.now_s + RUNS_S, notice))
             return True
-        if End.TURNED_AWAY in ENDPOINT_FAILURES:
-            registry.failed(state)
+        if AttemptOutcome.TURNED_AWAY in ENDPOINT_FAILURES:
+            registry.record_failure(state)
     return False
 
 
@@ -65,7 +65,7 @@
     while running and running[0][0] <= clock.now_s:
         notice = running.pop(0)[1]
         for phase in (LoadPhase.READ, LoadPhase.ENDED):
-            registry.take_notice(type(notice)(phase, notice.attempt_id, notice.endpoint_id))
+            registry.apply_notice(type(notice)(phase, notice.attempt_id, notice.endpoint_id))
 
 
 def test_endpoints_that_turn_all_away_get_few_requests_and_hardly_any_is_refused(registry, clock):
@@ -75,4 +75,4 @@
         clock.advance(1 / REQUESTS_PER_S)
         end_old(registry, clock, running)
         refused += not send(registry, clock, number, running)
-    assert_that(refused / REQUESTS, LessThan(MOST_REFUSED))
+    assert_that(refused / REQUESTS, LessThan(MAX_REFUSED_SHARE))
