--- a/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from springbridge.routing.shared_retry_budget import BudgetTerms
+from springbridge.routing.shared_retry_budget import RetryBudgetLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
     addresses: Addresses
     gossip_port: int
     seeds: tuple[str, ...]
-    budget: BudgetTerms = BudgetTerms()
+    budget: RetryBudgetLimits = RetryBudgetLimits()
     grace_s: float = 8.0
     longest_ttl_s: float = 5.0
     drain_s: float = 2.0
--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -38,7 +38,7 @@
     ran_before = exchange.progress.may_have_run
     sent_s = clock.now_s()
     left_s = _send(exchange, choice, connection, codec)
-    silence_s = retries.silence_limit_s(exchange.route, exchange.attempts(), left_s)
+    silence_s = retries.silence_timeout_s(exchange.route, exchange.attempts(), left_s)
     try:
         head = await read_head_within(silence_s, connection, codec, exchange.request_id)
         verdict = codec.verdict(head)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
@@ -139,8 +139,8 @@
         progress = exchange.progress
         now_s = clock.now_s()
         progress.held_since_s = progress.held_since_s or now_s
-        if now_s - progress.held_since_s > giving_up.longest_hold_s(exchange.route):
-            problem = giving_up.while_tried(exchange.attempts())
+        if now_s - progress.held_since_s > giving_up.max_trial_wait_s(exchange.route):
+            problem = giving_up.while_trial_pending(exchange.attempts())
             return Clearance(problem=problem)
         progress.avoided.clear()
         await asyncio.sleep(LOOK_S)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
@@ -12,7 +12,7 @@
 from springbridge.rates.held_back import HeldBack
 from springbridge.rates.rate_table import RateTable
 from springbridge.routing.endpoint_registry import EndpointRegistry
-from springbridge.routing.giving_up import RatesSpent
+from springbridge.routing.giving_up import RatesExhausted
 from springbridge.routing.records import EndpointEntry
 
 from springbridge_node.gateway.peers.rate_permits import RatePermits
@@ -102,7 +102,7 @@
             if is_limited and exchange.progress.sends == sends:
                 self._parts.permits.give_back(entry)
 
-    def spent(self, exchange: Exchange) -> RatesSpent | None:
+    def spent(self, exchange: Exchange) -> RatesExhausted | None:
         """Return that endpoints which could serve a request have spent their rate, or None."""
         held = self.held_back(exchange)
         if not held:
@@ -115,7 +115,7 @@
         ids = [entry.endpoint_id for entry in spent]
         rates = [self._parts.table.per_s(entry.incarnation) or 0.0 for entry in spent]
         self._parts.log.refused()
-        return RatesSpent(
+        return RatesExhausted(
             endpoints=len(spent),
             per_s=sum(rates),
             retry_after_s=self._held.return_s(demand.service, ids, demand.priority),
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rest_refusals.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rest_refusals.py
@@ -1,7 +1,7 @@
 """Refuses requests whose endpoints all rest, and sends their callers back one after another."""
 
 from springbridge.routing.endpoint_registry import EndpointRegistry
-from springbridge.routing.giving_up import AllRest
+from springbridge.routing.giving_up import AllResting
 from springbridge.statements.returns import retry_after_s
 
 from springbridge_node.gateway.telemetry import Telemetry
@@ -16,7 +16,7 @@
         self._telemetry = telemetry
         self._refused: dict[str, int] = {}
 
-    def refuse(self, service: str) -> AllRest | None:
+    def refuse(self, service: str) -> AllResting | None:
         """Count a refusal and return why, None if no endpoint of the service rests."""
         resting = self._registry.resting(service)
         if not resting:
@@ -25,4 +25,4 @@
         before = self._refused.get(service, 0)
         self._refused[service] = before + 1
         self._telemetry.rest_refusals.inc()
-        return AllRest(len(resting), retry_after_s(before, first_s - self._registry.now_s()))
+        return AllResting(len(resting), retry_after_s(before, first_s - self._registry.now_s()))
--- a/packages/springbridge-node/springbridge_node/gateway/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -176,10 +176,10 @@
         exchange.progress.obstacles = self._parts.registry.exclusion_counts(exchange.demand.service)
         spent = self._parts.rates.gate.spent(exchange)
         if spent is not None:
-            return giving_up.when_rates_spent(route, attempts, spent)
+            return giving_up.when_rates_exhausted(route, attempts, spent)
         rest = self._parts.rest_refusals.refuse(exchange.demand.service)
         if rest is not None:
-            return giving_up.when_all_rest(route, attempts, rest)
+            return giving_up.when_all_resting(route, attempts, rest)
         return giving_up.without_endpoint(route, attempts)
 
     async def _send_permitted(
@@ -218,7 +218,7 @@
     def _may_send(self, exchange: Exchange) -> bool:
         """Return whether the request may go to one more endpoint; a retry uses up the budget."""
         attempts = exchange.attempts()
-        if not retries.may_pass_over_more(attempts):
+        if not retries.may_skip_another(attempts):
             return False
         if not attempts.sends:
             return True
--- a/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 from types import MappingProxyType
 
-from springbridge.routing.shared_retry_budget import BudgetTerms
+from springbridge.routing.shared_retry_budget import RetryBudgetLimits
 from springbridge_node.gateway.gateway import Gateway
 from springbridge_node.gateway.gateway_settings import Addresses, DutySettings, GatewaySettings
 from springbridge_node.gateway.outside import Outside
@@ -18,7 +18,7 @@
 from springbridge_standins.http_standin import running
 
 # The retry budget of the tests' nodes, a third of the soak's. Not measured; chosen.
-BUDGET = BudgetTerms(ratio=0.2, slack=20, window_s=10.0)
+BUDGET = RetryBudgetLimits(ratio=0.2, slack=20, window_s=10.0)
 # Ports that each node listens on.
 PORTS = 6
 MakeOutside = Callable[[str], Outside]
--- a/packages/springbridge-standins/springbridge_standins/rates/ways.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/ways.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from springbridge.routing.giving_up import RatesSpent
+from springbridge.routing.giving_up import RatesExhausted
 from springbridge.routing.records import EndpointEntry
 
 from springbridge_standins.rates.fleet import DrawnExchange, DrawnFleet, DrawnInstance
@@ -54,7 +54,7 @@
         self._left[entry.endpoint_id] -= 1.0
         return True
 
-    def spent(self, exchange: DrawnExchange) -> RatesSpent | None:
+    def spent(self, exchange: DrawnExchange) -> RatesExhausted | None:
         """Note that a request was refused."""
         self.asked_s.append(asyncio.get_running_loop().time())
 
--- a/packages/springbridge/springbridge/routing/giving_up.py
+++ b/packages/springbridge/springbridge/routing/giving_up.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RatesSpent:
+class RatesExhausted:
     """Refusal because the endpoints' own rate limits are exhausted.
 
     Attributes:
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AllRest:
+class AllResting:
     """Refusal because all endpoints rest, as they have asked for a pause without requests.
 
     Attributes:
@@ -115,7 +115,7 @@
     return Problem(Code.NO_ENGINE, "no engine", retry_after_s=while_endpoints_restart())
 
 
-def when_rates_spent(route: Route, attempts: Attempts, spent: RatesSpent) -> Problem:
+def when_rates_exhausted(route: Route, attempts: Attempts, spent: RatesExhausted) -> Problem:
     """Return the problem of a request if all remaining endpoints have exhausted their rates."""
     detail = f"rates spent: {spent.endpoints} engines take {spent.per_s:g} a second"
     if attempts.may_have_run:
@@ -123,7 +123,7 @@
     return Problem(Code.OVERLOADED, detail, retry_after_s=spent.retry_after_s)
 
 
-def when_all_rest(route: Route, attempts: Attempts, rest: AllRest) -> Problem:
+def when_all_resting(route: Route, attempts: Attempts, rest: AllResting) -> Problem:
     """Return the problem of a request if all remaining endpoints rest."""
     detail = f"{rest.endpoints} engines rest"
     if attempts.may_have_run:
@@ -147,7 +147,7 @@
     return Problem(Code.QUARANTINED, detail, retry_after_s=wait_s)
 
 
-def while_tried(attempts: Attempts) -> Problem:
+def while_trial_pending(attempts: Attempts) -> Problem:
     """Return the problem of a request that waited too long for another request's trial to end."""
     detail = "another request like it is on trial"
     if attempts.may_have_run:
@@ -155,7 +155,7 @@
     return Problem(Code.QUARANTINED, detail, retry_after_s=while_on_trial())
 
 
-def longest_hold_s(route: Route) -> float:
+def max_trial_wait_s(route: Route) -> float:
     """Return how long a request waits for the end of another request's trial, in seconds.
 
     When many callers send the same request, all of them are served once one trial succeeds. The
--- a/packages/springbridge/springbridge/routing/retries.py
+++ b/packages/springbridge/springbridge/routing/retries.py
@@ -17,13 +17,13 @@
 
 # Shortest time to the deadline, in seconds, with which an attempt is made: with less, the endpoint
 # would work for a caller that has already gone. A few round trips.
-LEAST_LEFT_S = 0.005
+MIN_REMAINING_S = 0.005
 # Endpoints without a usable connection that a request skips before it is given up. Bounds the time
 # lost to connecting: five tries at the 0.4 s after which a connection counts as failed take 2 s.
-UNREACHED_ENDPOINTS = 4
+MAX_UNREACHED_ENDPOINTS = 4
 # Share of the remaining time for which to wait for a silent endpoint. The next endpoint then has as
 # much time as this one had.
-SILENCE_SHARE = 0.5
+SILENCE_TIMEOUT_SHARE = 0.5
 
 
 class AttemptOutcome(Enum):
@@ -101,17 +101,17 @@
     return attempts.endpoints_used < route.max_endpoints
 
 
-def may_pass_over_more(attempts: Attempts) -> bool:
+def may_skip_another(attempts: Attempts) -> bool:
     """Return whether another endpoint is tried after those that had no usable connection."""
-    return attempts.unreached <= UNREACHED_ENDPOINTS
+    return attempts.unreached <= MAX_UNREACHED_ENDPOINTS
 
 
 def is_worth_sending(left_s: float) -> bool:
     """Return whether the seconds left to the deadline suffice for another attempt."""
-    return left_s >= LEAST_LEFT_S
+    return left_s >= MIN_REMAINING_S
 
 
-def silence_limit_s(route: Route, attempts: Attempts, left_s: float) -> float | None:
+def silence_timeout_s(route: Route, attempts: Attempts, left_s: float) -> float | None:
     """Return how long to wait for the head of an answer, in seconds; None for until the deadline.
 
     Only a plain request that may still be sent to another endpoint times out early. A stream does
@@ -125,4 +125,4 @@
         return None
     if not has_endpoint_left(route, attempts):
         return None
-    return left_s * SILENCE_SHARE
+    return left_s * SILENCE_TIMEOUT_SHARE
--- a/packages/springbridge/springbridge/routing/retries_test.py
+++ b/packages/springbridge/springbridge/routing/retries_test.py
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize(("unreached", "expected"), [(0, True), (4, True), (5, False)])
 def test_four_endpoints_without_a_connection_are_passed_over(unreached, expected):
-    assert_that(retries.may_pass_over_more(Attempts(unreached=unreached)), Equals(expected))
+    assert_that(retries.may_skip_another(Attempts(unreached=unreached)), Equals(expected))
 
 
 @pytest.mark.parametrize(("left_s", "expected"), [(1.0, True), (0.005, True), (0.004, False)])
@@ -61,4 +61,4 @@
 )
 def test_silence_is_cut_short_only_where_another_endpoint_may_still_answer(route, sends, limit_s):
     attempts = Attempts(sends=sends, may_have_run=True)
-    assert_that(retries.silence_limit_s(route, attempts, 2.0), Equals(limit_s))
+    assert_that(retries.silence_timeout_s(route, attempts, 2.0), Equals(limit_s))
--- a/packages/springbridge/springbridge/routing/shared_retry_budget.py
+++ b/packages/springbridge/springbridge/routing/shared_retry_budget.py
@@ -14,11 +14,11 @@
 
 # Share of its part that an instance may use. Keeps the sum within the limits while instances
 # disagree on how many of them are live.
-CAUTION = 0.8
+USABLE_SHARE = 0.8
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetTerms:
+class RetryBudgetLimits:
     """Limits on the retries of all instances together, with the defaults of the settings.
 
     Attributes:
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        limits: BudgetTerms,
+        limits: RetryBudgetLimits,
         live_instances: Callable[[], int],
         clock: Callable[[], float],
     ) -> None:
@@ -73,7 +73,7 @@
         """Take a retry from the budget; return False if it is exhausted."""
         window = self._window(service)
         slack = self.limits.slack / max(1, self._live_instances())
-        allowed = CAUTION * (self.limits.ratio * len(window.requests) + slack)
+        allowed = USABLE_SHARE * (self.limits.ratio * len(window.requests) + slack)
         if len(window.retries) + 1 > allowed:
             return False
         window.retries.append(self._clock())
--- a/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
+++ b/packages/springbridge/springbridge/routing/shared_retry_budget_test.py
@@ -3,9 +3,9 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, LessThan
 
-from springbridge.routing.shared_retry_budget import BudgetTerms, SharedRetryBudget
+from springbridge.routing.shared_retry_budget import RetryBudgetLimits, SharedRetryBudget
 
-LIMITS = BudgetTerms(ratio=0.2, slack=50.0, window_s=10.0)
+LIMITS = RetryBudgetLimits(ratio=0.2, slack=50.0, window_s=10.0)
 
 
 def taken(budget, tries):
