--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -154,8 +154,8 @@
     Mutant(
         "the least urgent are refused first",
         f"{LIBRARY}/routing/overload.py",
-        "FULLEST_BY_PRIORITY = (1.5, 0.75, 0.5)",
-        "FULLEST_BY_PRIORITY = (1.5, 1.5, 1.5)",
+        "FULL_SHARE_BY_PRIORITY = (1.5, 0.75, 0.5)",
+        "FULL_SHARE_BY_PRIORITY = (1.5, 1.5, 1.5)",
         f"{LIBRARY}/routing/overload_test.py",
     ),
     Mutant(
@@ -177,7 +177,7 @@
     Mutant(
         "an engine's speed is learnt",
         f"{LIBRARY}/routing/reading_speed.py",
-        "self.tokens_per_s += NEW_SHARE * (bounded - self.tokens_per_s)",
+        "self.tokens_per_s += SAMPLE_WEIGHT * (bounded - self.tokens_per_s)",
         "pass",
         f"{LIBRARY}/routing/reading_speed_test.py::test_a_steady_speed_is_learnt",
     ),
--- a/packages/springbridge/springbridge/routing/admission.py
+++ b/packages/springbridge/springbridge/routing/admission.py
@@ -28,7 +28,7 @@
 )
 
 # Connections to an endpoint whose service the configuration does not describe. The minimum.
-CONNECTIONS_OF_UNKNOWN_SERVICE = 1
+UNKNOWN_SERVICE_MAX_CONNECTIONS = 1
 
 
 @dataclass(frozen=True)
@@ -134,7 +134,7 @@
     """Return the service for a request, with defaults if the configuration does not describe it."""
     name = pick_service(route, request_id)
     service = index.configuration.services.get(name)
-    return service or Service(name, max_connections=CONNECTIONS_OF_UNKNOWN_SERVICE)
+    return service or Service(name, max_connections=UNKNOWN_SERVICE_MAX_CONNECTIONS)
 
 
 def _priority(route: Route, customer: CustomerKeys | None) -> int:
--- a/packages/springbridge/springbridge/routing/ejection.py
+++ b/packages/springbridge/springbridge/routing/ejection.py
@@ -11,9 +11,9 @@
 FAILURES_TO_EJECT = 3
 # Duration of the first ejection in seconds. It bounds how long a recovered endpoint stays unused,
 # since the first request afterwards serves as the probe.
-EJECT_S = 1.0
+FIRST_EJECTION_S = 1.0
 # Maximum number of doublings; the longest ejection lasts 4 s.
-MOST_DOUBLINGS = 2
+MAX_DOUBLINGS = 2
 
 
 def ejection_s(failures: int) -> float:
@@ -21,4 +21,4 @@
     beyond = failures - FAILURES_TO_EJECT
     if beyond < 0:
         return 0.0
-    return EJECT_S * 2 ** min(beyond, MOST_DOUBLINGS)
+    return FIRST_EJECTION_S * 2 ** min(beyond, MAX_DOUBLINGS)
--- a/packages/springbridge/springbridge/routing/ejection_test.py
+++ b/packages/springbridge/springbridge/routing/ejection_test.py
@@ -4,7 +4,7 @@
 from testtools.matchers import Equals
 
 from springbridge.routing.conftest import usable_ids
-from springbridge.routing.ejection import EJECT_S, FAILURES_TO_EJECT, ejection_s
+from springbridge.routing.ejection import FAILURES_TO_EJECT, FIRST_EJECTION_S, ejection_s
 
 
 def test_failures_in_a_row_make_an_engine_rest(registry, clock):
@@ -12,7 +12,7 @@
     for _ in range(FAILURES_TO_EJECT):
         registry.record_failure(state)
     assert_that(usable_ids(registry), Equals(["b", "c", "d"]))
-    clock.advance(EJECT_S)
+    clock.advance(FIRST_EJECTION_S)
     assert_that(usable_ids(registry), Equals(["a", "b", "c", "d"]))
 
 
--- a/packages/springbridge/springbridge/routing/endpoint_choice.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from springbridge.hashing import score
-from springbridge.routing.endpoint_cost import LEAST_FETCH_TOKENS, is_worth_fetching, token_cost
+from springbridge.routing.endpoint_cost import MIN_FETCH_TOKENS, is_worth_fetching, token_cost
 from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.prefix_cache import prefixes
 from springbridge.routing.records import Demand, PromptPart
@@ -24,16 +24,16 @@
 
 # Requests that an endpoint may have when a shared prompt part is sent there, in multiples of the
 # mean of all endpoints. It keeps a popular part from overloading an endpoint.
-LOAD_BOUND = 1.5
+LOAD_BOUND_FACTOR = 1.5
 # Minimum of this bound in requests, for a low mean. It lets the preferred endpoint take a second
 # request in a fleet that is nearly idle.
-LEAST_BOUND = 2.0
+MIN_LOAD_BOUND = 2.0
 # Costs that fall into the same step of so many prompt tokens count as equal, and the hash decides.
 # It is 12.5 ms of reading at the usual 40,000 tokens a second.
-COST_STEP = 500
+COST_STEP_TOKENS = 500
 # Share of a prompt's shared parts that the preferred endpoint is assumed to have cached if no
 # endpoint is known to have them.
-PREFERRED_KEPT_SHARE = 0.8
+PREFERRED_CACHED_SHARE = 0.8
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
     if not parts:
         return least_in_flight(states, demand, now_s)
     mean = (sum(state.in_flight for state in states) + 1) / len(states)
-    bound = max(LEAST_BOUND, LOAD_BOUND * mean)
+    bound = max(MIN_LOAD_BOUND, LOAD_BOUND_FACTOR * mean)
     within = [state for state in states if state.in_flight + 1 <= bound]
     return Choice(_preferred(within or states, parts))
 
@@ -141,7 +141,7 @@
     for state in states:
         name = state.entry.endpoint_id
         cost = token_cost(state, demand, name in reserved, cached[name], max_cached)
-        steps.append(cost // COST_STEP)
+        steps.append(cost // COST_STEP_TOKENS)
     least = min(steps)
     return [state for state, step in zip(states, steps, strict=True) if step == least]
 
@@ -157,11 +157,11 @@
     prompt = prefixes(parts)
     cached = {state.entry.endpoint_id: state.cache.cached_tokens_of(prompt) for state in states}
     shared_tokens = sum(part.tokens for part in parts[:-1])
-    if shared_tokens < LEAST_FETCH_TOKENS or max(cached.values()) >= shared_tokens:
+    if shared_tokens < MIN_FETCH_TOKENS or max(cached.values()) >= shared_tokens:
         return cached
     general = [state for state in states if state.entry.endpoint_id not in reserved]
     preferred = _preferred(general or states, parts).entry.endpoint_id
-    cached[preferred] = max(cached[preferred], round(PREFERRED_KEPT_SHARE * shared_tokens))
+    cached[preferred] = max(cached[preferred], round(PREFERRED_CACHED_SHARE * shared_tokens))
     return cached
 
 
--- a/packages/springbridge/springbridge/routing/endpoint_choice_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice_test.py
@@ -6,7 +6,7 @@
 
 from springbridge.routing.conftest import MODEL, make_demand
 from springbridge.routing.endpoint_choice import by_shared_prompt, by_token_cost, least_in_flight
-from springbridge.routing.endpoint_cost import LEAST_FETCH_TOKENS
+from springbridge.routing.endpoint_cost import MIN_FETCH_TOKENS
 from springbridge.routing.load_notices import LoadNotice, LoadPhase
 from springbridge.routing.records import PromptPart
 from springbridge.routing.reserved_endpoints import reserved_endpoints
@@ -71,7 +71,7 @@
 
 
 def test_a_small_part_is_not_fetched(endpoints):
-    small = (("shared", LEAST_FETCH_TOKENS - 1), ("own", 900))
+    small = (("shared", MIN_FETCH_TOKENS - 1), ("own", 900))
     start(endpoints, "e1", "read", (small[0], ("other", 900)))
     for number in range(4):
         start(endpoints, "e1", f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
--- a/packages/springbridge/springbridge/routing/endpoint_cost.py
+++ b/packages/springbridge/springbridge/routing/endpoint_cost.py
@@ -26,13 +26,13 @@
 # from other prompts.
 FETCH_PER_TARGET_S = 2.0
 # Maximum cost of a fetched token: that of a token that is read.
-MOST_FETCH_WEIGHT = UNREAD_WEIGHT
+MAX_FETCH_WEIGHT = UNREAD_WEIGHT
 # Backlog in tokens beyond which each further token costs as much as one of the prompt: about one
 # second of reading.
 LONG_BACKLOG_TOKENS = 40_000
 # Tokens that another endpoint must have cached in addition for a fetch to be worthwhile. Fewer are
 # read within 26 ms at the usual 40,000 tokens a second, which does not justify the call.
-LEAST_FETCH_TOKENS = 1024
+MIN_FETCH_TOKENS = 1024
 # Cost of sending a prompt to another failure domain, as a share of the prompt's tokens.
 CROSS_DOMAIN_SHARE = 0.3
 
@@ -63,12 +63,12 @@
       own_cached: Tokens that the endpoint itself has cached.
       max_cached: Tokens that the other endpoint has cached.
     """
-    return max_cached - own_cached >= LEAST_FETCH_TOKENS
+    return max_cached - own_cached >= MIN_FETCH_TOKENS
 
 
 def fetch_weight(target_s: float) -> float:
     """Return the cost of a fetched prompt token for a route with this target in seconds."""
-    return min(MOST_FETCH_WEIGHT, FETCH_PER_TARGET_S * target_s)
+    return min(MAX_FETCH_WEIGHT, FETCH_PER_TARGET_S * target_s)
 
 
 def _backlog_cost(prefill_tokens: int) -> float:
--- a/packages/springbridge/springbridge/routing/endpoint_cost_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_cost_test.py
@@ -9,9 +9,9 @@
     CROSS_DOMAIN_SHARE,
     FETCH_PER_TARGET_S,
     FULL_BATCH_TOKENS,
-    LEAST_FETCH_TOKENS,
     LONG_BACKLOG_TOKENS,
-    MOST_FETCH_WEIGHT,
+    MAX_FETCH_WEIGHT,
+    MIN_FETCH_TOKENS,
     SLOT_WAIT_TOKENS,
     UNREAD_WEIGHT,
     fetch_weight,
@@ -44,7 +44,7 @@
 
 
 def test_what_another_endpoint_keeps_is_fetched_if_it_is_enough(state):
-    enough = LEAST_FETCH_TOKENS
+    enough = MIN_FETCH_TOKENS
     fetched = fetch_weight(TARGET_S) * enough + UNREAD_WEIGHT * (PROMPT_TOKENS - enough)
     assert_that(cost(state, most=enough), Equals(fetched))
     assert_that(cost(state, most=enough - 1), Equals(READ_ALL))
@@ -91,7 +91,7 @@
 
 def test_a_fetch_costs_by_the_target_and_never_more_than_reading():
     assert_that(fetch_weight(1.0), Equals(FETCH_PER_TARGET_S))
-    assert_that(fetch_weight(60.0), Equals(MOST_FETCH_WEIGHT))
+    assert_that(fetch_weight(60.0), Equals(MAX_FETCH_WEIGHT))
 
 
 def test_a_prompt_with_a_short_target_is_fetched_before_it_waits(state):
--- a/packages/springbridge/springbridge/routing/endpoint_state.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state.py
@@ -19,11 +19,11 @@
 LISTED = float("inf")
 # Seconds after which a request no longer counts as running. It bounds how long an endpoint looks
 # fuller than it is after the notice of a request's end was lost.
-LONGEST_LOAD_S = 20.0
+LOAD_EXPIRY_S = 20.0
 # Seconds after which a prompt no longer counts as unread. It bounds the same for the backlog and
-# must stay below LONGEST_LOAD_S: a prompt is read before its request ends.
-LONGEST_READ_S = 8.0
-assert LONGEST_READ_S < LONGEST_LOAD_S
+# must stay below LOAD_EXPIRY_S: a prompt is read before its request ends.
+PREFILL_EXPIRY_S = 8.0
+assert PREFILL_EXPIRY_S < LOAD_EXPIRY_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,9 +131,9 @@
     def expire_loads(self, now_s: float) -> None:
         """Drop loads that are too old, as the notice of their end was probably lost."""
         for attempt_id, load in list(self.loads.items()):
-            if load.since_s < now_s - LONGEST_LOAD_S:
+            if load.since_s < now_s - LOAD_EXPIRY_S:
                 self.record_end(attempt_id)
-            elif load.since_s < now_s - LONGEST_READ_S:
+            elif load.since_s < now_s - PREFILL_EXPIRY_S:
                 self._drop_prefill(attempt_id)
         self._note_idle()
 
--- a/packages/springbridge/springbridge/routing/endpoint_state_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state_test.py
@@ -4,13 +4,13 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge.routing.endpoint_state import LONGEST_LOAD_S, LONGEST_READ_S, EndpointState
+from springbridge.routing.endpoint_state import LOAD_EXPIRY_S, PREFILL_EXPIRY_S, EndpointState
 from springbridge.routing.load_notices import LoadNotice, LoadPhase, make_attempt_id
 from springbridge.routing.prompt_load import SHORT_PROMPT_TOKENS
-from springbridge.routing.reading_speed import LEAST_SAMPLE_TOKENS, USUAL_TOKENS_PER_S
+from springbridge.routing.reading_speed import MIN_SAMPLE_TOKENS, USUAL_TOKENS_PER_S
 from springbridge.routing.records import EndpointEntry
 
-LONG_PROMPT = LEAST_SAMPLE_TOKENS
+LONG_PROMPT = MIN_SAMPLE_TOKENS
 ONE_S = LONG_PROMPT / USUAL_TOKENS_PER_S
 
 
@@ -43,15 +43,15 @@
     assert_that((state.short.running, state.long.running), Equals((1, 1)))
     state.record_end("short")
     state.record_end("short")
-    state.expire_loads(LONGEST_LOAD_S + 1)
+    state.expire_loads(LOAD_EXPIRY_S + 1)
     assert_that((state.short.running, state.long.running), Equals((0, 0)))
 
 
 def test_a_load_whose_end_is_never_heard_of_expires(state):
     start(state, "a", 0.0)
-    state.expire_loads(LONGEST_READ_S + 1)
+    state.expire_loads(PREFILL_EXPIRY_S + 1)
     assert_that((state.prefill_tokens, state.in_flight), Equals((0, 1)))
-    state.expire_loads(LONGEST_LOAD_S + 1)
+    state.expire_loads(LOAD_EXPIRY_S + 1)
     assert_that(state.in_flight, Equals(0))
 
 
@@ -59,7 +59,7 @@
 def test_a_prompt_that_was_never_read_says_nothing_of_the_speed(state, lost):
     start(state, "lost", 0.0)
     if lost == "expired":
-        state.expire_loads(LONGEST_READ_S + 1)
+        state.expire_loads(PREFILL_EXPIRY_S + 1)
     else:
         state.record_end("lost")
     start(state, "later", 100.0)
--- a/packages/springbridge/springbridge/routing/load_notices.py
+++ b/packages/springbridge/springbridge/routing/load_notices.py
@@ -13,7 +13,7 @@
 
 # Separates incarnation and count in an attempt id. Attempt ids are sent to peers, so instances of
 # all releases in a fleet must agree on it.
-NAME_SEPARATOR = "/"
+ATTEMPT_ID_SEPARATOR = "/"
 
 
 def make_attempt_id(incarnation: str, count: int) -> str:
@@ -23,12 +23,12 @@
       incarnation: Incarnation of the instance.
       count: Number of the attempt among those of this incarnation.
     """
-    return f"{incarnation}{NAME_SEPARATOR}{count}"
+    return f"{incarnation}{ATTEMPT_ID_SEPARATOR}{count}"
 
 
 def incarnation_of(attempt_id: str) -> str:
     """Return the incarnation of the instance that made an attempt, as contained in its id."""
-    return attempt_id.partition(NAME_SEPARATOR)[0]
+    return attempt_id.partition(ATTEMPT_ID_SEPARATOR)[0]
 
 
 class LoadPhase(IntEnum):
--- a/packages/springbridge/springbridge/routing/overload.py
+++ b/packages/springbridge/springbridge/routing/overload.py
@@ -19,7 +19,7 @@
 from springbridge.routing.retry_after import after_overload
 
 # Share of an endpoint's slots in use from which it counts as full, by priority.
-FULLEST_BY_PRIORITY = (1.5, 0.75, 0.5)
+FULL_SHARE_BY_PRIORITY = (1.5, 0.75, 0.5)
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
 
 def _is_full(state: EndpointState, demand: Demand) -> bool:
     """Return whether an endpoint runs too many requests to take one of this priority."""
-    fullest = FULLEST_BY_PRIORITY[_rank(demand.priority, len(FULLEST_BY_PRIORITY))]
+    fullest = FULL_SHARE_BY_PRIORITY[_rank(demand.priority, len(FULL_SHARE_BY_PRIORITY))]
     return state.in_flight >= fullest * state.entry.slots
 
 
--- a/packages/springbridge/springbridge/routing/prompt_load.py
+++ b/packages/springbridge/springbridge/routing/prompt_load.py
@@ -13,7 +13,7 @@
 # 2,000 tokens, too few to delay a running stream for long.
 SHORT_PROMPT_TOKENS = 3000
 # Time constant of the average, in seconds.
-AVERAGE_S = 5.0
+AVERAGING_TIME_S = 5.0
 
 
 def is_short(prompt_tokens: int) -> bool:
@@ -47,9 +47,9 @@
 
     def tokens_per_s(self, now_s: float) -> float:
         """Return the average rate at which the endpoint gets prompt tokens to read."""
-        return self._weighted_tokens(now_s) / AVERAGE_S
+        return self._weighted_tokens(now_s) / AVERAGING_TIME_S
 
     def _weighted_tokens(self, now_s: float) -> float:
         """Return the recent tokens, weighted by their age at now_s."""
         age_s = max(0.0, now_s - self.updated_s)
-        return self.recent_tokens * math.exp(-age_s / AVERAGE_S)
+        return self.recent_tokens * math.exp(-age_s / AVERAGING_TIME_S)
--- a/packages/springbridge/springbridge/routing/prompt_load_test.py
+++ b/packages/springbridge/springbridge/routing/prompt_load_test.py
@@ -5,7 +5,7 @@
 from testtools.matchers import Equals
 
 from springbridge.routing.prompt_load import (
-    AVERAGE_S,
+    AVERAGING_TIME_S,
     SHORT_PROMPT_TOKENS,
     PromptLoad,
     is_short,
@@ -39,8 +39,8 @@
     load.record_start(1000, 0.0)
     load.record_end()
     at_once = load.tokens_per_s(0.0)
-    assert_that(at_once, Equals(1000 / AVERAGE_S))
-    assert_that(load.tokens_per_s(10 * AVERAGE_S) < at_once / 1000, Equals(True))
+    assert_that(at_once, Equals(1000 / AVERAGING_TIME_S))
+    assert_that(load.tokens_per_s(10 * AVERAGING_TIME_S) < at_once / 1000, Equals(True))
 
 
 def test_a_moment_before_the_last_start_adds_nothing():
--- a/packages/springbridge/springbridge/routing/reading_speed.py
+++ b/packages/springbridge/springbridge/routing/reading_speed.py
@@ -10,15 +10,15 @@
 USUAL_TOKENS_PER_S = 40_000.0
 # Lower bound of a sample in tokens per second, a tenth of the usual speed. It limits the error
 # caused by late or lost notices.
-LEAST_TOKENS_PER_S = USUAL_TOKENS_PER_S / 10
+MIN_TOKENS_PER_S = USUAL_TOKENS_PER_S / 10
 # Upper bound of a sample for the same reason, ten times the usual speed.
-MOST_TOKENS_PER_S = USUAL_TOKENS_PER_S * 10
+MAX_TOKENS_PER_S = USUAL_TOKENS_PER_S * 10
 # Minimum tokens of a sample, about half a second of reading, so that the fixed cost of a single
 # prompt has little weight.
-LEAST_SAMPLE_TOKENS = 20_000
+MIN_SAMPLE_TOKENS = 20_000
 # Weight of a new sample against the estimate so far. With a half, an endpoint that becomes slow is
 # recognized within a few prompts.
-NEW_SHARE = 0.5
+SAMPLE_WEIGHT = 0.5
 
 
 class ReadingSpeed:
@@ -44,7 +44,7 @@
         if self._since_s is None:
             return
         self._tokens += tokens
-        if self._tokens >= LEAST_SAMPLE_TOKENS and now_s > self._since_s:
+        if self._tokens >= MIN_SAMPLE_TOKENS and now_s > self._since_s:
             self._update_estimate(self._tokens / (now_s - self._since_s))
             self._begin_sample(now_s)
 
@@ -59,5 +59,5 @@
 
     def _update_estimate(self, sample: float) -> None:
         """Include a sample in tokens per second in the estimate."""
-        bounded = min(MOST_TOKENS_PER_S, max(LEAST_TOKENS_PER_S, sample))
-        self.tokens_per_s += NEW_SHARE * (bounded - self.tokens_per_s)
+        bounded = min(MAX_TOKENS_PER_S, max(MIN_TOKENS_PER_S, sample))
+        self.tokens_per_s += SAMPLE_WEIGHT * (bounded - self.tokens_per_s)
--- a/packages/springbridge/springbridge/routing/reading_speed_test.py
+++ b/packages/springbridge/springbridge/routing/reading_speed_test.py
@@ -5,9 +5,9 @@
 from testtools.matchers import Equals, GreaterThan, LessThan
 
 from springbridge.routing.reading_speed import (
-    LEAST_SAMPLE_TOKENS,
-    LEAST_TOKENS_PER_S,
-    MOST_TOKENS_PER_S,
+    MAX_TOKENS_PER_S,
+    MIN_SAMPLE_TOKENS,
+    MIN_TOKENS_PER_S,
     USUAL_TOKENS_PER_S,
     ReadingSpeed,
 )
@@ -43,14 +43,14 @@
     speed.record_read(PROMPT, 0.25)
     speed.end_sample()
     speed.start_sample(60.0)
-    speed.record_read(LEAST_SAMPLE_TOKENS, 60.5)
+    speed.record_read(MIN_SAMPLE_TOKENS, 60.5)
     assert_that(speed.tokens_per_s, Equals(USUAL_TOKENS_PER_S))
 
 
 def test_a_single_short_prompt_is_no_sample():
     speed = ReadingSpeed()
     speed.start_sample(0.0)
-    speed.record_read(LEAST_SAMPLE_TOKENS - 1, 30.0)
+    speed.record_read(MIN_SAMPLE_TOKENS - 1, 30.0)
     assert_that(speed.tokens_per_s, Equals(USUAL_TOKENS_PER_S))
 
 
@@ -58,5 +58,5 @@
     slow, fast = ReadingSpeed(), ReadingSpeed()
     read_steadily(slow, 10.0)
     read_steadily(fast, 1e9)
-    assert_that(slow.tokens_per_s, GreaterThan(LEAST_TOKENS_PER_S - 1))
-    assert_that(fast.tokens_per_s, LessThan(MOST_TOKENS_PER_S + 1))
+    assert_that(slow.tokens_per_s, GreaterThan(MIN_TOKENS_PER_S - 1))
+    assert_that(fast.tokens_per_s, LessThan(MAX_TOKENS_PER_S + 1))
--- a/packages/springbridge/springbridge/routing/reserved_endpoints.py
+++ b/packages/springbridge/springbridge/routing/reserved_endpoints.py
@@ -28,7 +28,7 @@
 FULL_BATCH_WORK = 0.5
 # Endpoints that a service needs before any is reserved. With three, long prompts have at least one
 # endpoint of their own.
-LEAST_ENDPOINTS_TO_RESERVE = 3
+MIN_ENDPOINTS_TO_RESERVE = 3
 # Cost of a long prompt at a reserved endpoint, in prompt tokens: half a second of reading.
 LONG_ON_RESERVED_TOKENS = 20_000
 # Cost of a short prompt at any other endpoint, in prompt tokens.
@@ -42,7 +42,7 @@
 # same ones, so it must never change, not even by a byte.
 RESERVED_KEY = "short prompts"
 # Endpoint ids whose rank is cached; bounds memory. The largest planned fleet has 720 endpoints.
-RANKS_REMEMBERED = 4096
+MAX_CACHED_RANKS = 4096
 
 
 def reserved_endpoints(states: Sequence[EndpointState], now_s: float) -> frozenset[str]:
@@ -54,7 +54,7 @@
     Args:
       now_s: The current time in seconds of the clock that the states use.
     """
-    if len(states) < LEAST_ENDPOINTS_TO_RESERVE:
+    if len(states) < MIN_ENDPOINTS_TO_RESERVE:
         return frozenset()
     count = _reserved_count(states, now_s)
     ranked = sorted((state.entry.endpoint_id for state in states), key=_rank, reverse=True)
@@ -84,7 +84,7 @@
     return batch + load.tokens_per_s(now_s) / state.speed.tokens_per_s
 
 
-@lru_cache(maxsize=RANKS_REMEMBERED)
+@lru_cache(maxsize=MAX_CACHED_RANKS)
 def _rank(endpoint_id: str) -> float:
     """Return the hash score of an endpoint; those with the highest scores are reserved."""
     return score(RESERVED_KEY, endpoint_id)
--- a/packages/springbridge/springbridge/routing/reserved_endpoints_test.py
+++ b/packages/springbridge/springbridge/routing/reserved_endpoints_test.py
@@ -6,7 +6,7 @@
 
 from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.load_notices import LoadNotice, LoadPhase
-from springbridge.routing.prompt_load import AVERAGE_S, SHORT_PROMPT_TOKENS
+from springbridge.routing.prompt_load import AVERAGING_TIME_S, SHORT_PROMPT_TOKENS
 from springbridge.routing.records import EndpointEntry
 from springbridge.routing.reserved_endpoints import (
     LONG_ON_RESERVED_TOKENS,
@@ -81,7 +81,7 @@
     end(states[0], SLOTS, LONG)
     start(states[1], SLOTS, SHORT)
     soon = reserved_endpoints(states, NOW_S)
-    later = reserved_endpoints(states, NOW_S + 10 * AVERAGE_S)
+    later = reserved_endpoints(states, NOW_S + 10 * AVERAGING_TIME_S)
     assert_that((len(soon), len(later)), Equals((2, 9)))
 
 
--- a/packages/springbridge/springbridge/routing/retry_after.py
+++ b/packages/springbridge/springbridge/routing/retry_after.py
@@ -23,9 +23,9 @@
 """
 
 # For callers of an instance that has just started and has no configuration yet. A start is short.
-DUE_AT_START_S = 0.5
+RETRY_AT_START_S = 0.5
 # Keeps callers that retry only once from retrying during the outage, which lasts for seconds.
-DUE_IN_OUTAGE_S = 3.0
+RETRY_IN_OUTAGE_S = 3.0
 
 # Time that a crashed endpoint takes to start; keeps callers from retrying before it serves again.
 RESTART_S = 4.0
@@ -35,7 +35,7 @@
 FULL_TARGET_SHARE = 0.1
 # Lower bound in seconds. Protects endpoints from callers of routes with very short targets, which
 # would otherwise retry at once.
-FULL_LEAST_S = 0.05
+MIN_FULL_RETRY_S = 0.05
 
 # Keeps callers from retrying within the same burst, which lasts for seconds.
 BURST_S = 2.0
@@ -47,7 +47,7 @@
 # Time that most requests take; keeps callers from retrying before the trial has ended.
 ON_TRIAL_S = 1.0
 
-assert DUE_AT_START_S < DUE_IN_OUTAGE_S, "an outage lasts longer than a start"
+assert RETRY_AT_START_S < RETRY_IN_OUTAGE_S, "an outage lasts longer than a start"
 
 
 def without_configuration(store_is_up: bool) -> float:
@@ -56,7 +56,7 @@
     Args:
       store_is_up: Whether the store answered this instance's last call.
     """
-    return DUE_AT_START_S if store_is_up else DUE_IN_OUTAGE_S
+    return RETRY_AT_START_S if store_is_up else RETRY_IN_OUTAGE_S
 
 
 def while_endpoints_restart() -> float:
@@ -70,7 +70,7 @@
     Args:
       target_s: The route's target for the time to the first event, in seconds.
     """
-    return max(FULL_LEAST_S, target_s * FULL_TARGET_SHARE)
+    return max(MIN_FULL_RETRY_S, target_s * FULL_TARGET_SHARE)
 
 
 def after_overload(backlog_s: float, longest_wait_s: float) -> float:
