--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -14,13 +14,13 @@
 from returns.result import Failure, Success
 from springbridge.codes import Code
 from springbridge.routing.admission import RouteIndex
-from springbridge.routing.evacuations import EvacuationNews
+from springbridge.routing.evacuations import EvacuationUpdate
 from springbridge.routing.records import Service
 from springbridge.routing.retry_after import without_configuration
 from springbridge.routing.store_freshness import (
+    CHECK_INTERVAL_S,
     FEED_READERS,
     FEED_WAIT_S,
-    LOOK_S,
     feed_pause_s,
     reads_configuration,
 )
@@ -56,7 +56,7 @@
         installed: Installed,
         readers: StoreReaders,
         clock: Callable[[], float] = now_s,
-        evacuations: Callable[[int, EvacuationNews], None] = lambda stamp, news: None,
+        evacuations: Callable[[int, EvacuationUpdate], None] = lambda stamp, news: None,
     ) -> None:
         """Start without a configuration.
 
@@ -136,7 +136,7 @@
         """Keep the configuration fresh until cancelled."""
         while True:
             if not self._has_to_read():
-                await next_tick(LOOK_S)
+                await next_tick(CHECK_INTERVAL_S)
                 continue
             self._missed_changes.clear()
             self._watch = asyncio.ensure_future(self._follow())
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -7,7 +7,7 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 from springbridge.routing.records import Configuration
-from springbridge.routing.store_freshness import CONFIRMED_S, LOOK_S
+from springbridge.routing.store_freshness import CHECK_INTERVAL_S, CONFIRMED_S
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, GreaterThan
 
@@ -81,10 +81,10 @@
 
     async def body():
         task = asyncio.ensure_future(follower.run())
-        await asyncio.sleep(LOOK_S / 4)
+        await asyncio.sleep(CHECK_INTERVAL_S / 4)
         for step in steps:
             step(follower)
-            await asyncio.sleep(LOOK_S * 1.5)
+            await asyncio.sleep(CHECK_INTERVAL_S * 1.5)
         task.cancel()
 
     asyncio.run(body())
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
@@ -12,14 +12,14 @@
 from returns.result import Failure, Success
 from springbridge.membership import Membership, SnapshotStatus
 from springbridge.routing.endpoint_registry import EndpointRegistry
-from springbridge.routing.listed_entries import with_cold_of
+from springbridge.routing.listed_entries import with_cold_only_for
 from springbridge.routing.records import EndpointSnapshot
 from springbridge.routing.store_freshness import (
     ASK_PEERS_AFTER_S,
-    LOOK_S,
+    CHECK_INTERVAL_S,
     OLDEST_AGE_S,
     SNAPSHOT_READERS,
-    PeerSnapshot,
+    SnapshotComparison,
     compare_with_peer,
     is_confirmed,
     is_overdue,
@@ -134,12 +134,12 @@
     async def step(self) -> None:
         """Keep the list fresh for one interval."""
         if self._readers.seeds_come_first() and await self._has_list_of_a_seed():
-            await next_tick(LOOK_S)
+            await next_tick(CHECK_INTERVAL_S)
         elif self._readers.include_me(SNAPSHOT_READERS) or await self._has_to_stand_in():
             await self._read_store()
             await asyncio.sleep(self._interval_s)
         else:
-            await next_tick(LOOK_S)
+            await next_tick(CHECK_INTERVAL_S)
 
     async def _has_list_of_a_seed(self) -> bool:
         """Return whether a starting node can leave the store alone.
@@ -158,12 +158,12 @@
         peer = self._peer_with_youngest()
         youngest = self._in_own_terms(own, peer.snapshot) if peer else None
         match compare_with_peer(own, youngest):
-            case PeerSnapshot.CONFIRMS:
+            case SnapshotComparison.CONFIRMS:
                 self._registry.confirm(youngest.age_s)
                 return False
-            case PeerSnapshot.DIFFERS:
+            case SnapshotComparison.DIFFERS:
                 return not await self._fetch_from(peer)
-            case PeerSnapshot.NO_HELP:
+            case SnapshotComparison.NO_HELP:
                 return self._is_its_turn()
 
     def _peer_with_youngest(self) -> _PeerStatus | None:
@@ -228,7 +228,7 @@
 
     def _install(self, aged: AgedSnapshot, source: Source) -> bool:
         """Install a list, log it if it changed anything, and return whether it did."""
-        snapshot = with_cold_of(aged.snapshot, self._hooks.cold_services())
+        snapshot = with_cold_only_for(aged.snapshot, self._hooks.cold_services())
         changed = self._registry.install(snapshot, self._hooks.capacities(), aged.age_s)
         if changed:
             logs.event(
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -11,7 +11,7 @@
 from springbridge.problems import Problem
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import EndpointEntry, EndpointSnapshot
-from springbridge.routing.store_freshness import CONFIRMED_S, LOOK_S, SNAPSHOT_INTERVAL_S
+from springbridge.routing.store_freshness import CHECK_INTERVAL_S, CONFIRMED_S, SNAPSHOT_INTERVAL_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
@@ -203,4 +203,4 @@
 
 def test_an_unconfirmed_node_reads_before_the_usual_drain_time_of_an_endpoint_is_over():
     defaults = {field.name: field.default for field in fields(GatewaySettings)}
-    assert_that(defaults["drain_s"], GreaterThan(CONFIRMED_S + LOOK_S))
+    assert_that(defaults["drain_s"], GreaterThan(CONFIRMED_S + CHECK_INTERVAL_S))
--- a/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
@@ -9,7 +9,7 @@
 
 from returns.result import Result
 from springbridge.problems import Problem
-from springbridge.routing.evacuations import EvacuationNews
+from springbridge.routing.evacuations import EvacuationUpdate
 from springbridge.routing.records import Configuration, EndpointSnapshot
 
 from springbridge_node.gateway.duties.duty_platform import LeaseStore
@@ -43,7 +43,7 @@
     cursor: int
     document: ConfigurationDocument | None
     unreadable: str = ""
-    evacuations: EvacuationNews = EvacuationNews()
+    evacuations: EvacuationUpdate = EvacuationUpdate()
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing.py
@@ -10,7 +10,7 @@
 
 from springbridge.membership import Membership
 from springbridge.routing.endpoint_registry import EndpointRegistry
-from springbridge.routing.evacuations import EvacuationNews, EvacuationReading, EvacuationTable
+from springbridge.routing.evacuations import EvacuationReading, EvacuationTable, EvacuationUpdate
 
 from springbridge_node import logs
 from springbridge_node.clock import now_s
@@ -60,9 +60,9 @@
         """Return the failure domains that this node evacuates."""
         return self._in_force
 
-    def read(self, stamp: int, news: EvacuationNews) -> None:
+    def read(self, stamp: int, news: EvacuationUpdate) -> None:
         """Take in what the store said."""
-        self._table.take_news(stamp, news)
+        self._table.apply_update(stamp, news)
         if self._apply(Source.STORE):
             self._send(self._datagrams.sample_peers(PUSHED_PEERS) if self._datagrams else [])
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing_test.py
@@ -7,7 +7,7 @@
 import pytest
 from springbridge.membership import Member, Membership
 from springbridge.routing.endpoint_registry import EndpointRegistry
-from springbridge.routing.evacuations import EvacuationNews
+from springbridge.routing.evacuations import EvacuationUpdate
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
@@ -35,7 +35,7 @@
 
 def asked(*domains):
     """Return news that just these domains are evacuated."""
-    return EvacuationNews(True, tuple((domain, True) for domain in domains))
+    return EvacuationUpdate(True, tuple((domain, True) for domain in domains))
 
 
 def known(fleet):
--- a/packages/springbridge/springbridge/routing/endpoint_registry.py
+++ b/packages/springbridge/springbridge/routing/endpoint_registry.py
@@ -16,11 +16,11 @@
 from springbridge.routing.endpoint_state import LISTED, EndpointState, leaving_by_service
 from springbridge.routing.listed_entries import (
     fingerprint_of,
-    has_started_again,
+    has_restarted,
     with_known_start,
 )
 from springbridge.routing.load_notices import LoadNotice, LoadPhase, is_about
-from springbridge.routing.older_lists import OlderLists
+from springbridge.routing.older_lists import StoreRollbackCorrector
 from springbridge.routing.reading_speed import USUAL_TOKENS_PER_S
 from springbridge.routing.records import EndpointEntry, EndpointIncarnation, EndpointSnapshot
 from springbridge.statements import rests
@@ -55,7 +55,7 @@
         self._revision = -1
         self._read_s: float | None = None
         self._fingerprint = 0
-        self._older_lists = OlderLists(clock)
+        self._rollback_corrector = StoreRollbackCorrector(clock)
         self._evacuated: frozenset[str] = frozenset()
         # Cached with each list: searching all states costs as much as a search for candidates.
         self._leaving: dict[str, list[EndpointState]] = {}
@@ -97,12 +97,12 @@
             return False
         went_back = era_of(snapshot.revision) > era_of(max(0, self._revision))
         if went_back:
-            self._older_lists.went_back()
+            self._rollback_corrector.record_rollback()
         after_outage = went_back or self.age_s() > eligibility.OUTAGE_LIST_AGE_S + age_s
         self._revision = snapshot.revision
         self._fingerprint = fingerprint_of(snapshot)
         self._read_s = self._clock() - age_s
-        listed = self._older_lists.corrected(snapshot.entries, self._known)
+        listed = self._rollback_corrector.corrected(snapshot.entries, self._known)
         changed = self._update(listed, capacities)
         changed = self._drop_unlisted(listed, after_outage) or changed
         self._leaving = leaving_by_service(self._states.values())
@@ -118,7 +118,7 @@
         changed = False
         for endpoint_id, entry in listed.items():
             state = self._states.get(endpoint_id)
-            if state is None or has_started_again(state.entry, entry):
+            if state is None or has_restarted(state.entry, entry):
                 said = self.statements.of(entry.incarnation)
                 state = self._states[endpoint_id] = EndpointState(entry, statements=said)
                 changed = True
@@ -146,7 +146,7 @@
                 may_live = state.entry.service in lapsed and not state.is_leaving
                 state.usable_until_s = now_s + (self._lapse_grace_s if may_live else 0.0)
                 if not after_outage:
-                    self._older_lists.record_departure(endpoint_id)
+                    self._rollback_corrector.record_departure(endpoint_id)
                 changed = True
             if state.usable_until_s <= now_s and not state.in_flight:
                 del self._states[endpoint_id]
--- a/packages/springbridge/springbridge/routing/evacuations.py
+++ b/packages/springbridge/springbridge/routing/evacuations.py
@@ -14,7 +14,7 @@
 from springbridge.store_stamp import era_of
 
 # Seconds for which an evacuation stays in force that the restored copy of the store lacks.
-HOLD_LOST_S = 60.0
+LOST_EVACUATION_HOLD_S = 60.0
 # Stamp before the first reading.
 NOTHING_READ = -1
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EvacuationNews:
+class EvacuationUpdate:
     """Evacuations read by one call to the store.
 
     Attributes:
@@ -76,7 +76,7 @@
         )
         return EvacuationReading(self._stamp, self._evacuated, lost)
 
-    def take_news(self, stamp: int, update: EvacuationNews) -> bool:
+    def apply_update(self, stamp: int, update: EvacuationUpdate) -> bool:
         """Apply what was read from the store; return whether it was newer than the known state."""
         evacuated = set() if update.is_complete else set(self._evacuated)
         for domain, is_evacuated in update.changes:
@@ -95,7 +95,7 @@
         if is_newer:
             self._replace(reading, now_s)
         for domain, for_s in reading.lost_for_s:
-            self._hold(domain, now_s + min(for_s, HOLD_LOST_S))
+            self._hold(domain, now_s + min(for_s, LOST_EVACUATION_HOLD_S))
         return is_newer
 
     def _replace(self, reading: EvacuationReading, now_s: float) -> None:
@@ -105,7 +105,7 @@
             self._confirmed = set()
             self._lost_until_s = {}
             for domain in before - reading.evacuated:
-                self._hold(domain, now_s + HOLD_LOST_S)
+                self._hold(domain, now_s + LOST_EVACUATION_HOLD_S)
         self._stamp, self._evacuated = reading.stamp, reading.evacuated
         self._confirmed |= reading.evacuated
         self._lost_until_s = {
--- a/packages/springbridge/springbridge/routing/listed_entries.py
+++ b/packages/springbridge/springbridge/routing/listed_entries.py
@@ -17,7 +17,7 @@
 FINGERPRINT_SHIFT = 32
 
 
-def has_started_again(known: EndpointEntry, listed: EndpointEntry) -> bool:
+def has_restarted(known: EndpointEntry, listed: EndpointEntry) -> bool:
     """Return whether a listed endpoint is another process than the known one with the same id.
 
     The new process has none of the old one's requests, cached prompts and connections. If the start
@@ -35,7 +35,7 @@
     return listed if listed.born_ms is not None else replace(listed, born_ms=known.born_ms)
 
 
-def with_cold_of(snapshot: EndpointSnapshot, services: Collection[str]) -> EndpointSnapshot:
+def with_cold_only_for(snapshot: EndpointSnapshot, services: Collection[str]) -> EndpointSnapshot:
     """Return a list in which only endpoints of the given services can be marked as cold.
 
     For other services nothing uses the mark; its changes would only make each instance fetch a new
--- a/packages/springbridge/springbridge/routing/older_lists.py
+++ b/packages/springbridge/springbridge/routing/older_lists.py
@@ -22,7 +22,7 @@
 REMEMBERED_S = 60.0
 
 
-class OlderLists:
+class StoreRollbackCorrector:
     """Corrects lists for SETTLED_S seconds after the store was restored from an older copy."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -31,7 +31,7 @@
         self._rolled_back_s = float("-inf")
         self._left_s: dict[str, float] = {}
 
-    def went_back(self) -> None:
+    def record_rollback(self) -> None:
         """Record that the store was restored from an older copy now."""
         self._rolled_back_s = self._clock()
 
--- a/packages/springbridge/springbridge/routing/store_freshness.py
+++ b/packages/springbridge/springbridge/routing/store_freshness.py
@@ -28,7 +28,7 @@
 CONFIRMED_S = 1.1
 # Seconds between two checks by an instance that is not a reader whether it has to read. Well below
 # CONFIRMED_S, to which it adds, and equal to the heartbeat interval, whose wake-ups it shares.
-LOOK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 # Seconds between the turns of two instances that stand in for the readers. It limits them to 12
 # attempts a second in a fleet of any size.
 TURN_S = 0.08
@@ -57,11 +57,11 @@
 OLDEST_AGE_S = 1e6
 
 assert SNAPSHOT_READERS <= FEED_READERS, "the list's readers are the first of the feed's readers"
-assert LOOK_S < CONFIRMED_S < ASK_PEERS_AFTER_S
+assert CHECK_INTERVAL_S < CONFIRMED_S < ASK_PEERS_AFTER_S
 assert SNAPSHOT_INTERVAL_S < CONFIRMED_S, "a working reader has to confirm in time"
 
 
-class PeerSnapshot(Enum):
+class SnapshotComparison(Enum):
     """How the freshest endpoint list among the peers compares with this instance's list.
 
     NO_HELP: it proves nothing. CONFIRMS: this instance's list is current. DIFFERS: the peer's list
@@ -152,14 +152,14 @@
     return min(SNAPSHOT_INTERVAL_S, drain_s * SNAPSHOT_SHARE_OF_DRAIN)
 
 
-def compare_with_peer(own: SnapshotStatus, youngest: SnapshotStatus | None) -> PeerSnapshot:
+def compare_with_peer(own: SnapshotStatus, youngest: SnapshotStatus | None) -> SnapshotComparison:
     """Return what the freshest list among the peers, if any, means for this instance's list.
 
     A list that is itself unconfirmed, or no fresher than this instance's, proves nothing. One with
     the same fingerprint confirms this instance's list, and any other has to be fetched.
     """
     if youngest is None or not is_confirmed(youngest.age_s) or youngest.age_s >= own.age_s:
-        return PeerSnapshot.NO_HELP
+        return SnapshotComparison.NO_HELP
     if youngest.fingerprint == own.fingerprint:
-        return PeerSnapshot.CONFIRMS
-    return PeerSnapshot.DIFFERS
+        return SnapshotComparison.CONFIRMS
+    return SnapshotComparison.DIFFERS
--- a/packages/springbridge/springbridge/routing/store_freshness_test.py
+++ b/packages/springbridge/springbridge/routing/store_freshness_test.py
@@ -11,7 +11,7 @@
     ROLE_KEY,
     SNAPSHOT_INTERVAL_S,
     TURN_S,
-    PeerSnapshot,
+    SnapshotComparison,
     compare_with_peer,
     feed_pause_s,
     is_overdue,
@@ -90,11 +90,11 @@
 @pytest.mark.parametrize(
     ("youngest", "expected"),
     [
-        (None, PeerSnapshot.NO_HELP),
-        (SnapshotStatus(1, 0.8), PeerSnapshot.NO_HELP),
-        (SnapshotStatus(2, CONFIRMED_S), PeerSnapshot.NO_HELP),
-        (SnapshotStatus(1, 0.1), PeerSnapshot.CONFIRMS),
-        (SnapshotStatus(2, 0.1), PeerSnapshot.DIFFERS),
+        (None, SnapshotComparison.NO_HELP),
+        (SnapshotStatus(1, 0.8), SnapshotComparison.NO_HELP),
+        (SnapshotStatus(2, CONFIRMED_S), SnapshotComparison.NO_HELP),
+        (SnapshotStatus(1, 0.1), SnapshotComparison.CONFIRMS),
+        (SnapshotStatus(2, 0.1), SnapshotComparison.DIFFERS),
     ],
 )
 def test_only_a_younger_list_proves_anything(youngest, expected):
@@ -105,5 +105,5 @@
     none_yet = SnapshotStatus(0, float("inf"))
     assert_that(
         compare_with_peer(none_yet, SnapshotStatus(2, CONFIRMED_S)),
-        Equals(PeerSnapshot.NO_HELP),
+        Equals(SnapshotComparison.NO_HELP),
     )
