--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -62,14 +62,14 @@
         f"{LIBRARY}/routing/eligibility.py",
         "return leaving.within_bound_s(MASS_LAPSE_GRACE_S, drain_s)",
         "return MASS_LAPSE_GRACE_S",
-        f"{ELIGIBILITY}::test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over",
+        f"{ELIGIBILITY}::test_lapsed_endpoints_get_nothing_once_the_time_to_drain_is_over",
     ),
     Mutant(
         "a single engine that vanished has left",
         f"{LIBRARY}/routing/eligibility.py",
         "return {service for service in total if missing[service] * 2 > total[service]}",
         "return set(total)",
-        f"{ELIGIBILITY}::test_one_engine_that_vanished_over_an_outage_gets_nothing",
+        f"{ELIGIBILITY}::test_one_endpoint_that_vanished_over_an_outage_gets_nothing",
     ),
     Mutant(
         "what is told on grows older",
@@ -164,7 +164,7 @@
         "_is_full(state, demand) or _is_behind(state, demand) for",
         "_is_full(state, demand) for",
         f"{LIBRARY}/routing/overload_test.py"
-        "::test_who_would_wait_too_long_for_its_target_is_refused",
+        "::test_a_request_that_would_wait_too_long_for_its_target_is_refused",
     ),
     Mutant(
         "the urgent wait longer than the less urgent",
@@ -186,7 +186,7 @@
         f"{LIBRARY}/routing/endpoint_cost.py",
         "return prefill_tokens + (UNREAD_WEIGHT - 1) * beyond",
         "return prefill_tokens",
-        f"{LIBRARY}/routing/endpoint_choice_test.py::test_long_prompts_use_the_quiet_engine_when_the_others_are_far_behind",
+        f"{LIBRARY}/routing/endpoint_choice_test.py::test_long_prompts_use_the_reserved_endpoint_when_the_others_are_far_behind",
     ),
     Mutant(
         "a request that ended endpoints is known again under another id",
--- a/packages/springbridge/springbridge/routing/ejection_test.py
+++ b/packages/springbridge/springbridge/routing/ejection_test.py
@@ -7,7 +7,7 @@
 from springbridge.routing.ejection import FAILURES_TO_EJECT, FIRST_EJECTION_S, ejection_s
 
 
-def test_failures_in_a_row_make_an_engine_rest(registry, clock):
+def test_consecutive_failures_eject_an_endpoint(registry, clock):
     state = registry.find("a")
     for _ in range(FAILURES_TO_EJECT):
         registry.record_failure(state)
--- a/packages/springbridge/springbridge/routing/eligibility_test.py
+++ b/packages/springbridge/springbridge/routing/eligibility_test.py
@@ -11,12 +11,12 @@
 from springbridge.routing.endpoint_registry import EndpointRegistry
 
 
-def test_draining_and_unlisted_engines_get_nothing(registry):
+def test_draining_and_unlisted_endpoints_get_nothing(registry):
     registry.install(make_snapshot(2, "a", "b", draining=("c",)), {}, 0.0)
     assert_that(usable_ids(registry), Equals(["a", "b"]))
 
 
-def test_one_engine_that_vanished_over_an_outage_gets_nothing(registry, clock):
+def test_one_endpoint_that_vanished_over_an_outage_gets_nothing(registry, clock):
     # Guards against taking the removal of one endpoint during an outage of the store for a lapse of
     # the list: the instance would send it requests for seconds.
     clock.advance(OUTAGE_LIST_AGE_S + 2.0)
@@ -24,7 +24,7 @@
     assert_that(usable_ids(registry), Equals(["a", "b", "c"]))
 
 
-def test_engines_that_all_vanished_over_an_outage_stay_usable_for_a_grace(registry, clock):
+def test_endpoints_that_all_vanished_over_an_outage_stay_usable_for_a_grace(registry, clock):
     clock.advance(OUTAGE_LIST_AGE_S + 2.0)
     registry.install(make_snapshot(2), {}, 0.0)
     assert_that(usable_ids(registry), Equals(["a", "b", "c", "d"]))
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("drain_s", [1.5, 2.0, 3.0])
-def test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over(clock, drain_s):
+def test_lapsed_endpoints_get_nothing_once_the_time_to_drain_is_over(clock, drain_s):
     # After an instance has read that an endpoint left, it must stop using it even in an outage.
     registry = EndpointRegistry(clock, drain_s)
     registry.install(make_snapshot(1, "a", "b"), {}, 0.0)
@@ -43,12 +43,12 @@
     assert_that(usable_ids(registry), Equals([]))
 
 
-def test_engines_that_all_vanish_without_an_outage_get_nothing(registry):
+def test_endpoints_that_all_vanish_without_an_outage_get_nothing(registry):
     registry.install(make_snapshot(2), {}, 0.0)
     assert_that(usable_ids(registry), Equals([]))
 
 
-def test_a_lapsed_engine_that_is_listed_again_is_as_before(registry, clock):
+def test_a_lapsed_endpoint_that_is_listed_again_is_as_before(registry, clock):
     clock.advance(OUTAGE_LIST_AGE_S + 2.0)
     registry.install(make_snapshot(2), {}, 0.0)
     registry.install(make_snapshot(3, "a"), {}, 0.0)
@@ -56,14 +56,14 @@
     assert_that(usable_ids(registry), Equals(["a"]))
 
 
-def test_resting_engines_are_used_when_there_is_no_other(registry):
+def test_ejected_endpoints_are_used_when_there_is_no_other(registry):
     for name in "abcd":
         for _ in range(FAILURES_TO_EJECT):
             registry.record_failure(registry.find(name))
     assert_that(usable_ids(registry), Equals(["a", "b", "c", "d"]))
 
 
-def test_an_unreachable_engine_gets_nothing_until_it_is_reached(registry):
+def test_an_unreachable_endpoint_gets_nothing_until_it_is_reached(registry):
     # Guards against requests that wait for connections and are refused late if no endpoint is
     # reachable.
     for name in "abcd":
@@ -76,12 +76,12 @@
     assert_that(usable_ids(registry), Equals(["b"]))
 
 
-def test_an_engine_whose_address_another_has_gets_nothing(registry):
+def test_an_endpoint_whose_address_another_has_gets_nothing(registry):
     registry.mark_gone(registry.find("b"))
     assert_that(usable_ids(registry), Equals(["a", "c", "d"]))
 
 
-def test_engines_that_had_the_request_are_left_out(registry):
+def test_endpoints_that_had_the_request_are_left_out(registry):
     assert_that(
         [state.entry.endpoint_id for state in registry.candidates(SERVICE, {"a", "c"})],
         Equals(["b", "d"]),
--- a/packages/springbridge/springbridge/routing/endpoint_choice_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_choice_test.py
@@ -39,7 +39,7 @@
     )
 
 
-def test_a_shared_prompt_returns_to_the_engine_that_read_it(endpoints):
+def test_a_shared_prompt_returns_to_the_endpoint_that_read_it(endpoints):
     first = chosen(endpoints, LONG).state.entry.endpoint_id
     start(endpoints, first)
     finish(endpoints, first)
@@ -47,26 +47,26 @@
     assert_that(chosen(endpoints, again).state.entry.endpoint_id, Equals(first))
 
 
-def test_all_nodes_send_a_new_shared_prompt_to_the_same_engine(endpoints):
+def test_all_instances_send_a_new_shared_prompt_to_the_same_endpoint(endpoints):
     names = {chosen(endpoints, LONG).state.entry.endpoint_id for _ in range(5)}
     assert_that(len(names), Equals(1))
 
 
-def test_a_busy_home_is_left_and_its_prompt_is_fetched(endpoints):
-    home = chosen(endpoints, LONG).state.entry.endpoint_id
-    start(endpoints, home, "read", LONG)
+def test_a_busy_preferred_endpoint_is_avoided_and_its_prompt_is_fetched(endpoints):
+    preferred = chosen(endpoints, LONG).state.entry.endpoint_id
+    start(endpoints, preferred, "read", LONG)
     for number in range(4):
-        start(endpoints, home, f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
+        start(endpoints, preferred, f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
     choice = chosen(endpoints, LONG)
-    assert_that(choice.state.entry.endpoint_id, Not(Equals(home)))
-    assert_that(choice.source.entry.endpoint_id, Equals(home))
+    assert_that(choice.state.entry.endpoint_id, Not(Equals(preferred)))
+    assert_that(choice.source.entry.endpoint_id, Equals(preferred))
 
 
 def test_nothing_is_fetched_where_the_service_cannot(endpoints):
-    home = chosen(endpoints, LONG, fetches=False).state.entry.endpoint_id
-    start(endpoints, home, "read", LONG)
+    preferred = chosen(endpoints, LONG, fetches=False).state.entry.endpoint_id
+    start(endpoints, preferred, "read", LONG)
     for number in range(4):
-        start(endpoints, home, f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
+        start(endpoints, preferred, f"busy-{number}", ((f"x{number}", 20_000), ("own", 5_000)))
     assert_that(chosen(endpoints, LONG, fetches=False).source, Is(None))
 
 
@@ -78,25 +78,25 @@
     assert_that(chosen(endpoints, small).source, Is(None))
 
 
-def test_short_prompts_go_to_the_quiet_engine_and_long_ones_do_not(endpoints):
-    (quiet,) = reserved_endpoints(states_of(endpoints), endpoints.now_s())
-    assert_that(chosen(endpoints, SHORT).state.entry.endpoint_id, Equals(quiet))
+def test_short_prompts_go_to_the_reserved_endpoint_and_long_ones_do_not(endpoints):
+    (reserved,) = reserved_endpoints(states_of(endpoints), endpoints.now_s())
+    assert_that(chosen(endpoints, SHORT).state.entry.endpoint_id, Equals(reserved))
     for number in range(8):
         parts = ((f"shared-{number}", 13_000), ("own", 3_000))
-        assert_that(chosen(endpoints, parts).state.entry.endpoint_id, Not(Equals(quiet)))
+        assert_that(chosen(endpoints, parts).state.entry.endpoint_id, Not(Equals(reserved)))
 
 
-def test_long_prompts_use_the_quiet_engine_when_the_others_are_far_behind(endpoints):
-    (quiet,) = reserved_endpoints(states_of(endpoints), endpoints.now_s())
-    for name in {"e0", "e1", "e2", "e3", "e4"} - {quiet}:
+def test_long_prompts_use_the_reserved_endpoint_when_the_others_are_far_behind(endpoints):
+    (reserved,) = reserved_endpoints(states_of(endpoints), endpoints.now_s())
+    for name in {"e0", "e1", "e2", "e3", "e4"} - {reserved}:
         for number in range(3):
             start(
                 endpoints, name, f"{name}-{number}", ((f"{name}{number}", 20_000), ("own", 5_000))
             )
-    assert_that(chosen(endpoints, LONG).state.entry.endpoint_id, Equals(quiet))
+    assert_that(chosen(endpoints, LONG).state.entry.endpoint_id, Equals(reserved))
 
 
-def test_an_engine_that_has_read_a_prompt_is_no_longer_behind(endpoints):
+def test_an_endpoint_that_has_read_a_prompt_is_no_longer_behind(endpoints):
     start(endpoints, "e1", "a", LONG)
     assert_that(endpoints.find("e1").prefill_tokens, Equals(16_000))
     endpoints.apply_notice(LoadNotice(LoadPhase.READ, "a", "e1"))
@@ -106,7 +106,7 @@
     assert_that(endpoints.find("e1").in_flight, Equals(0))
 
 
-def test_a_load_whose_end_was_never_heard_of_expires(endpoints, clock):
+def test_a_load_whose_end_was_never_reported_expires(endpoints, clock):
     start(endpoints, "e1", "a", LONG)
     clock.advance(60.0)
     endpoints.expire_loads()
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("choose", [least_in_flight, by_shared_prompt])
-def test_the_baselines_choose_an_engine(endpoints, choose):
+def test_the_baselines_choose_an_endpoint(endpoints, choose):
     choice = choose(states_of(endpoints), make_demand(LONG), NOW_S)
     assert_that(choice.state.entry.service, Equals(MODEL))
 
@@ -139,18 +139,18 @@
 def test_prompts_are_fetched_from_endpoints_that_leave_within_a_burst(endpoints):
     # Spot endpoints of a failure domain leave together, with their caches, while prompts that share
     # cached parts keep arriving. Each part is fetched once from a leaving endpoint, not read again.
-    home = chosen(endpoints, LONG).state
-    start(endpoints, home.entry.endpoint_id)
-    finish(endpoints, home.entry.endpoint_id)
-    staying = [state for state in states_of(endpoints) if state is not home]
-    choice = by_token_cost(staying, make_demand(LONG, failure_domain=HERE), NOW_S, [home])
-    assert_that(choice.state, Not(Is(home)))
-    assert_that(choice.source, Is(home))
+    preferred = chosen(endpoints, LONG).state
+    start(endpoints, preferred.entry.endpoint_id)
+    finish(endpoints, preferred.entry.endpoint_id)
+    staying = [state for state in states_of(endpoints) if state is not preferred]
+    choice = by_token_cost(staying, make_demand(LONG, failure_domain=HERE), NOW_S, [preferred])
+    assert_that(choice.state, Not(Is(preferred)))
+    assert_that(choice.source, Is(preferred))
     assert_that(choice.fetched_tokens, Equals(16_000))
 
 
 def test_nothing_is_fetched_from_an_endpoint_that_leaves_and_keeps_nothing(endpoints):
-    home = chosen(endpoints, LONG).state
-    staying = [state for state in states_of(endpoints) if state is not home]
-    choice = by_token_cost(staying, make_demand(LONG, failure_domain=HERE), NOW_S, [home])
+    preferred = chosen(endpoints, LONG).state
+    staying = [state for state in states_of(endpoints) if state is not preferred]
+    choice = by_token_cost(staying, make_demand(LONG, failure_domain=HERE), NOW_S, [preferred])
     assert_that(choice.source, Is(None))
--- a/packages/springbridge/springbridge/routing/endpoint_state_test.py
+++ b/packages/springbridge/springbridge/routing/endpoint_state_test.py
@@ -47,7 +47,7 @@
     assert_that((state.short.running, state.long.running), Equals((0, 0)))
 
 
-def test_a_load_whose_end_is_never_heard_of_expires(state):
+def test_a_load_whose_end_is_never_reported_expires(state):
     start(state, "a", 0.0)
     state.expire_loads(PREFILL_EXPIRY_S + 1)
     assert_that((state.prefill_tokens, state.in_flight), Equals((0, 1)))
@@ -67,7 +67,7 @@
     assert_that(round(state.speed.tokens_per_s), Equals(round(USUAL_TOKENS_PER_S)))
 
 
-def test_an_engine_that_reads_quickly_is_less_behind(state):
+def test_an_endpoint_that_reads_quickly_is_less_behind(state):
     start(state, "a", 0.0)
     start(state, "b", 0.0)
     before_s = state.backlog_s
--- a/packages/springbridge/springbridge/routing/evacuations_test.py
+++ b/packages/springbridge/springbridge/routing/evacuations_test.py
@@ -86,7 +86,7 @@
     assert_that(started.domains(), Equals({"a"}))
 
 
-def test_a_peer_of_an_earlier_era_is_not_heeded(table):
+def test_a_reading_of_an_earlier_era_is_ignored(table):
     table.apply_update(stamp(1, 5), evacuation_update("a"))
     table.take(EvacuationReading(900, frozenset({"b"}), (("c", 9.0),)))
     assert_that(table.domains(), Equals({"a"}))
--- a/packages/springbridge/springbridge/routing/overload_test.py
+++ b/packages/springbridge/springbridge/routing/overload_test.py
@@ -58,7 +58,9 @@
         (2.01, [0, 1, 2, 5]),
     ],
 )
-def test_who_would_wait_too_long_for_its_target_is_refused(endpoints, backlog_s, expected):
+def test_a_request_that_would_wait_too_long_for_its_target_is_refused(
+    endpoints, backlog_s, expected
+):
     leave_behind(endpoints, backlog_s)
     assert_that(refused(endpoints), Equals(expected))
 
@@ -85,7 +87,7 @@
     assert_that(refused(endpoints, target_s=2.0), Equals([2, 5]))
 
 
-def test_a_slow_engine_is_behind_with_fewer_tokens(endpoints):
+def test_a_slow_endpoint_is_behind_with_fewer_tokens(endpoints):
     registry = endpoints
     tokens = round(0.2 * registry.find("e0").speed.tokens_per_s)
     for name in ALL:
@@ -94,12 +96,12 @@
     assert_that(refused(registry), Equals([2, 5]))
 
 
-def test_one_engine_with_room_is_enough(endpoints):
+def test_one_endpoint_with_room_is_enough(endpoints):
     fill(endpoints, 2 * SLOTS, ALL[:4])
     assert_that(refused(endpoints), Equals([]))
 
 
-def test_one_engine_without_a_backlog_is_enough(endpoints):
+def test_one_endpoint_without_a_backlog_is_enough(endpoints):
     leave_behind(endpoints, 10.0, ALL[:4])
     assert_that(refused(endpoints), Equals([]))
 
@@ -110,7 +112,7 @@
     assert_that(refused(endpoints), HasLength(4))
 
 
-def test_no_engine_is_no_overload():
+def test_no_endpoint_is_no_overload():
     assert_that(overload([], make_demand(priority=5)), Equals(None))
 
 
--- a/packages/springbridge/springbridge/routing/reading_speed_test.py
+++ b/packages/springbridge/springbridge/routing/reading_speed_test.py
@@ -30,7 +30,7 @@
     assert_that(abs(speed.tokens_per_s - tokens_per_s), LessThan(0.01 * tokens_per_s))
 
 
-def test_an_engine_that_turns_slow_is_seen_within_a_few_prompts():
+def test_an_endpoint_that_turns_slow_is_seen_within_a_few_prompts():
     speed = ReadingSpeed()
     read_steadily(speed, 40_000.0)
     read_steadily(speed, 5_000.0, prompts=8, now_s=110.0)
--- a/packages/springbridge/springbridge/routing/selection_test.py
+++ b/packages/springbridge/springbridge/routing/selection_test.py
@@ -18,18 +18,18 @@
             registry.apply_notice(LoadNotice(LoadPhase.STARTED, name, state.entry.endpoint_id))
 
 
-def test_an_engine_that_was_tried_is_left_out(endpoints):
+def test_an_endpoint_that_was_tried_is_left_out(endpoints):
     tried = {"e0", "e1", "e2", "e3"}
     selection = select(endpoints, make_demand(PROMPT), tried, least_in_flight)
     assert_that(selection.choice.state.entry.endpoint_id, Equals("e4"))
 
 
-def test_without_engines_there_is_no_choice(endpoints):
+def test_without_endpoints_there_is_no_choice(endpoints):
     demand = make_demand(PROMPT, service="other")
     assert_that(select(endpoints, demand, (), least_in_flight), Equals(Selection(None)))
 
 
-def test_the_least_urgent_is_refused_while_all_engines_are_too_full(endpoints):
+def test_the_least_urgent_is_refused_while_all_endpoints_are_too_full(endpoints):
     fill(endpoints, 40)
     refused = select(endpoints, make_demand(PROMPT, priority=2), (), least_in_flight)
     urgent = select(endpoints, make_demand(PROMPT, priority=0), (), least_in_flight)
@@ -42,7 +42,7 @@
     assert_that(selection.overload, Equals(None))
 
 
-def test_endpoints_that_the_asking_instance_avoids_are_left_out(endpoints):
+def test_endpoints_that_the_requesting_instance_avoids_are_left_out(endpoints):
     avoided = ["e0", "e1", "e2"]
     selection = select(endpoints, make_demand(PROMPT), {"e3"}, least_in_flight, avoided)
     assert_that(selection.choice.state.entry.endpoint_id, Equals("e4"))
