--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -60,16 +60,16 @@
     Mutant(
         "the grace of lapsed entries ends with the time to drain",
         f"{LIBRARY}/routing/eligibility.py",
-        "return leaving.within_bound_s(LAPSE_GRACE_S, drain_s)",
-        "return LAPSE_GRACE_S",
-        f"{ELIGIBILITY}::test_lapsed_engines_get_nothing_once_the_time_to_drain_is_over",
+        "return leaving.within_bound_s(MASS_LAPSE_GRACE_S, drain_s)",
+        "return MASS_LAPSE_GRACE_S",
+        f"{ELIGIBILITY}::test_lapsed_endpoints_get_nothing_once_the_time_to_drain_is_over",
     ),
     Mutant(
         "a single engine that vanished has left",
         f"{LIBRARY}/routing/eligibility.py",
         "return {service for service in total if missing[service] * 2 > total[service]}",
         "return set(total)",
-        f"{ELIGIBILITY}::test_one_engine_that_vanished_over_an_outage_gets_nothing",
+        f"{ELIGIBILITY}::test_one_endpoint_that_vanished_over_an_outage_gets_nothing",
     ),
     Mutant(
         "what is told on grows older",
@@ -154,8 +154,8 @@
     Mutant(
         "the least urgent are refused first",
         f"{LIBRARY}/routing/overload.py",
-        "FULLEST_BY_PRIORITY = (1.5, 0.75, 0.5)",
-        "FULLEST_BY_PRIORITY = (1.5, 1.5, 1.5)",
+        "FULL_SHARE_BY_PRIORITY = (1.5, 0.75, 0.5)",
+        "FULL_SHARE_BY_PRIORITY = (1.5, 1.5, 1.5)",
         f"{LIBRARY}/routing/overload_test.py",
     ),
     Mutant(
@@ -164,20 +164,20 @@
         "_is_full(state, demand) or _is_behind(state, demand) for",
         "_is_full(state, demand) for",
         f"{LIBRARY}/routing/overload_test.py"
-        "::test_who_would_wait_too_long_for_its_target_is_refused",
+        "::test_a_request_that_would_wait_too_long_for_its_target_is_refused",
     ),
     Mutant(
         "the urgent wait longer than the less urgent",
         f"{LIBRARY}/routing/overload.py",
-        "return min(self.most_s, max(self.least_s, self.targets * target_s))",
-        "return self.targets * target_s",
+        "return min(self.max_s, max(self.min_s, self.target_multiple * target_s))",
+        "return self.target_multiple * target_s",
         f"{LIBRARY}/routing/overload_test.py"
         "::test_a_more_urgent_request_waits_longer_whatever_the_targets",
     ),
     Mutant(
         "an engine's speed is learnt",
         f"{LIBRARY}/routing/reading_speed.py",
-        "self.tokens_per_s += NEW_SHARE * (bounded - self.tokens_per_s)",
+        "self.tokens_per_s += SAMPLE_WEIGHT * (bounded - self.tokens_per_s)",
         "pass",
         f"{LIBRARY}/routing/reading_speed_test.py::test_a_steady_speed_is_learnt",
     ),
@@ -186,7 +186,7 @@
         f"{LIBRARY}/routing/endpoint_cost.py",
         "return prefill_tokens + (UNREAD_WEIGHT - 1) * beyond",
         "return prefill_tokens",
-        f"{LIBRARY}/routing/endpoint_choice_test.py::test_long_prompts_use_the_quiet_engine_when_the_others_are_far_behind",
+        f"{LIBRARY}/routing/endpoint_choice_test.py::test_long_prompts_use_the_reserved_endpoint_when_the_others_are_far_behind",
     ),
     Mutant(
         "a request that ended endpoints is known again under another id",
--- a/packages/springbridge/springbridge/routing/admission_test.py
+++ b/packages/springbridge/springbridge/routing/admission_test.py
@@ -62,10 +62,12 @@
 
 
 @pytest.mark.parametrize(
-    ("patience_s", "deadline_s"), [(None, 1003.0), (1.0, 1001.0), (9.0, 1003.0)]
+    ("caller_timeout_s", "deadline_s"), [(None, 1003.0), (1.0, 1001.0), (9.0, 1003.0)]
 )
-def test_the_deadline_is_the_earlier_of_caller_and_route(patience_s, deadline_s):
-    found = admit(index_of(make_route()), make_arrival(patience_s=patience_s), DUE_S).unwrap()
+def test_the_deadline_is_the_earlier_of_caller_and_route(caller_timeout_s, deadline_s):
+    found = admit(
+        index_of(make_route()), make_arrival(caller_timeout_s=caller_timeout_s), DUE_S
+    ).unwrap()
     assert_that(found.deadline_s, Equals(deadline_s))
 
 
@@ -82,7 +84,7 @@
     assert_that(found.customer, Equals(""))
 
 
-# Guards against opening every route by taking away the last customer.
+# Guards against opening every route to all callers by removing the last customer.
 @pytest.mark.parametrize("key", [None, "key-1"])
 def test_where_operators_keep_customers_taking_away_the_last_one_opens_nothing(key):
     index = index_of(make_route(), customers=())
--- a/packages/springbridge/springbridge/routing/overload_test.py
+++ b/packages/springbridge/springbridge/routing/overload_test.py
@@ -1,4 +1,4 @@
-"""Tests of overload.py: the least urgent are refused first, and only when no endpoint has room."""
+"""Tests of overload.py: the least urgent are refused first, and only if all endpoints are full."""
 
 import itertools
 
@@ -17,18 +17,18 @@
 
 
 def fill(registry, count, names=ALL):
-    """Give each endpoint so many requests whose prompts have been read."""
+    """Give each endpoint count requests whose prompts have been read."""
     for name in names:
         for number in range(count):
-            registry.take_notice(LoadNotice(LoadPhase.STARTED, f"{name}-{number}", name))
+            registry.apply_notice(LoadNotice(LoadPhase.STARTED, f"{name}-{number}", name))
 
 
 def leave_behind(registry, backlog_s, names=ALL):
-    """Give each endpoint prompts that take so long to read."""
+    """Give each endpoint a backlog of this many seconds of reading."""
     for name in names:
         speed = registry.find(name).speed.tokens_per_s
         tokens = round(backlog_s * speed)
-        registry.take_notice(LoadNotice(LoadPhase.STARTED, f"{name}-behind", name, tokens))
+        registry.apply_notice(LoadNotice(LoadPhase.STARTED, f"{name}-behind", name, tokens))
 
 
 def refused(registry, target_s=TARGET_S):
@@ -58,7 +58,9 @@
         (2.01, [0, 1, 2, 5]),
     ],
 )
-def test_who_would_wait_too_long_for_its_target_is_refused(endpoints, backlog_s, expected):
+def test_a_request_that_would_wait_too_long_for_its_target_is_refused(
+    endpoints, backlog_s, expected
+):
     leave_behind(endpoints, backlog_s)
     assert_that(refused(endpoints), Equals(expected))
 
@@ -85,21 +87,21 @@
     assert_that(refused(endpoints, target_s=2.0), Equals([2, 5]))
 
 
-def test_a_slow_engine_is_behind_with_fewer_tokens(endpoints):
+def test_a_slow_endpoint_is_behind_with_fewer_tokens(endpoints):
     registry = endpoints
     tokens = round(0.2 * registry.find("e0").speed.tokens_per_s)
     for name in ALL:
         registry.find(name).speed.tokens_per_s /= 2
-        registry.take_notice(LoadNotice(LoadPhase.STARTED, f"{name}-x", name, tokens))
+        registry.apply_notice(LoadNotice(LoadPhase.STARTED, f"{name}-x", name, tokens))
     assert_that(refused(registry), Equals([2, 5]))
 
 
-def test_one_engine_with_room_is_enough(endpoints):
+def test_one_endpoint_with_room_is_enough(endpoints):
     fill(endpoints, 2 * SLOTS, ALL[:4])
     assert_that(refused(endpoints), Equals([]))
 
 
-def test_one_engine_without_a_backlog_is_enough(endpoints):
+def test_one_endpoint_without_a_backlog_is_enough(endpoints):
     leave_behind(endpoints, 10.0, ALL[:4])
     assert_that(refused(endpoints), Equals([]))
 
@@ -110,7 +112,7 @@
     assert_that(refused(endpoints), HasLength(4))
 
 
-def test_no_engine_is_no_overload():
+def test_no_endpoint_is_no_overload():
     assert_that(overload([], make_demand(priority=5)), Equals(None))
 
 
--- a/packages/springbridge/springbridge/routing/reserved_endpoints_test.py
+++ b/packages/springbridge/springbridge/routing/reserved_endpoints_test.py
@@ -1,4 +1,4 @@
-"""Tests of reserved_endpoints.py: which endpoints are reserved, and what the others pay there."""
+"""Tests of reserved_endpoints.py: which endpoints are reserved, and the cost of the wrong kind."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -6,7 +6,7 @@
 
 from springbridge.routing.endpoint_state import EndpointState
 from springbridge.routing.load_notices import LoadNotice, LoadPhase
-from springbridge.routing.prompt_load import AVERAGE_S, SHORT_PROMPT_TOKENS
+from springbridge.routing.prompt_load import AVERAGING_TIME_S, SHORT_PROMPT_TOKENS
 from springbridge.routing.records import EndpointEntry
 from springbridge.routing.reserved_endpoints import (
     LONG_ON_RESERVED_TOKENS,
@@ -31,15 +31,15 @@
 
 
 def start(state, count, tokens):
-    """Start so many requests, each with a prompt of so many tokens that nothing is kept of."""
+    """Start count requests, each with an uncached prompt of this many tokens."""
     for number in range(count):
         attempt = f"{tokens}-{number}"
-        state.started(LoadNotice(LoadPhase.STARTED, attempt, "e0", tokens), NOW_S)
+        state.record_start(LoadNotice(LoadPhase.STARTED, attempt, "e0", tokens), NOW_S)
 
 
 def end(state, count, tokens):
     for number in range(count):
-        state.ended(f"{tokens}-{number}")
+        state.record_end(f"{tokens}-{number}")
 
 
 @pytest.mark.parametrize(("count", "reserved"), [(0, 0), (2, 0), (3, 1), (7, 1), (10, 2), (20, 4)])
@@ -48,7 +48,7 @@
 
 
 def test_all_instances_reserve_the_same_endpoints_whatever_their_order():
-    # Instances of other releases reserve these ids as well, so the hash key must not change.
+    # Instances of other releases reserve the same ids, so the hash key must not change.
     states = make_states(10)
     assert_that(reserved_endpoints(states, NOW_S), Equals(frozenset(RESERVED_OF_TEN)))
     assert_that(reserved_endpoints(states[::-1], NOW_S), Equals(frozenset(RESERVED_OF_TEN)))
@@ -81,7 +81,7 @@
     end(states[0], SLOTS, LONG)
     start(states[1], SLOTS, SHORT)
     soon = reserved_endpoints(states, NOW_S)
-    later = reserved_endpoints(states, NOW_S + 10 * AVERAGE_S)
+    later = reserved_endpoints(states, NOW_S + 10 * AVERAGING_TIME_S)
     assert_that((len(soon), len(later)), Equals((2, 9)))
 
 
