--- a/packages/springbridge-node/springbridge_node/gateway/peers/age_vector_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/age_vector_test.py
@@ -1,11 +1,11 @@
-"""Tests of age_vector.py: what a text of ages holds."""
+"""Tests of age_vector.py: ages survive encoding, and malformed strings are rejected."""
 
 import pytest
 from springbridge.membership import HeartbeatAge
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
-from springbridge_node.gateway.peers.age_vector import MOST_STEPS, STEP_S, decode, encode, key_of
+from springbridge_node.gateway.peers.age_vector import MAX_STEPS, STEP_S, decode, encode, key_of
 
 
 def test_ages_come_back_and_never_get_younger():
@@ -15,7 +15,7 @@
 
 
 def test_an_age_too_old_for_its_byte_is_left_out():
-    oldest_s = (MOST_STEPS - 0.5) * STEP_S
+    oldest_s = (MAX_STEPS - 0.5) * STEP_S
     ages = [HeartbeatAge("a", oldest_s), HeartbeatAge("b", oldest_s + STEP_S)]
     assert_that(list(decode(encode(ages))), Equals([key_of("a")]))
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/codec.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/codec.py
@@ -1,10 +1,10 @@
-"""Encodes and decodes what nodes send each other: rows in datagrams, bodies of HTTP replies.
+"""Encodes and decodes what nodes send each other: datagram rows and bodies of HTTP replies.
 
-A row is a JSON list whose fields are known by their position, which keeps datagrams small. During a
+A row is a JSON list whose fields are identified by position, which keeps datagrams small. During a
 rollout nodes of two builds exchange rows, so the order of the fields, their rounding and the
 numbers of the enums are fixed; codec_test.py compares them byte by byte.
 
-Decoding raises ValueError, TypeError, KeyError or IndexError on rows that no node sends.
+Decoding a malformed row raises ValueError, TypeError, KeyError or IndexError.
 """
 
 import base64
@@ -23,17 +23,17 @@
 from springbridge_node.gateway.peers.row_fields import number, text, texts, whole
 from springbridge_node.gateway.peers.selection_messages import SelectionReply, SelectionRequest
 
-# Decimals of an age in seconds. Far finer than the 1.1 s for which a configuration or endpoint list
-# counts as confirmed.
+# Decimal places of an age in seconds. Far finer than the 1.1 s for which a configuration or an
+# endpoint list counts as confirmed.
 AGE_DECIMALS = 2
-# Phases of notices about an endpoint itself, which name no attempt.
-ABOUT_ENDPOINT = (LoadPhase.UNREACHED, LoadPhase.GONE)
-# Level of zlib, its fastest: bodies are sent rarely, to many nodes at the same moment.
+# Phases of notices about an endpoint itself, which have no attempt id.
+ENDPOINT_PHASES = (LoadPhase.UNREACHED, LoadPhase.GONE)
+# zlib's fastest level: bodies are sent rarely, but to many nodes at the same moment.
 COMPRESSION_LEVEL = 1
 
 
 def state_row(member: Member) -> list:
-    """Return the row of what changes about a member; enough for peers that know the member."""
+    """Encode the fields of a member that change; sufficient for peers that know the member."""
     return [
         member.incarnation,
         member.heartbeat,
@@ -46,7 +46,7 @@
 
 
 def member_row(member: Member) -> list:
-    """Return the row of a whole member, for peers that may not know it."""
+    """Encode all fields of a member (a full row), for peers that may not know it."""
     fixed = [member.instance, member.peer_address, member.caller_address, member.failure_domain]
     return state_row(member) + fixed
 
@@ -54,14 +54,14 @@
 def read_member(
     row: list, find: Callable[[str], Member | None], heard_ago_s: float = 0.0
 ) -> Member | None:
-    """Return the member of a row of either kind.
+    """Decode a member from a state row or a full row.
 
     Args:
-      find: Returns the member of an incarnation as this node knows it.
-      heard_ago_s: Age of the member's last sign of life, which is not in the row.
+      find: Returns the member with an incarnation as this node knows it, or None.
+      heard_ago_s: Age in seconds of the member's last heartbeat, which is not in the row.
 
     Returns:
-      None for the state of a member that this node does not know; the next whole row adds it.
+      None for a state row of a member that this node does not know; its next full row adds it.
     """
     incarnation, heartbeat, phase, version, confirmed_ago_s, fingerprint, age_s, *fixed = row
     text(incarnation)
@@ -84,20 +84,20 @@
 
 
 def heartbeat_of(row: list) -> int:
-    """Return the heartbeat in a member's row of either kind."""
+    """Return the heartbeat counter in a member's state row or full row."""
     return whole(row[1])
 
 
 def incarnation_of(row: list) -> str:
-    """Return the incarnation in a member's row of either kind."""
+    """Return the incarnation in a member's state row or full row."""
     return text(row[0])
 
 
 def notice_row(notice: LoadNotice) -> list:
-    """Return the row of a load notice; only one of a start has the facts of the prompt."""
+    """Encode a load notice; only a notice of a start has the prompt's fields."""
     row = [int(notice.phase), notice.attempt_id, notice.endpoint_id]
-    if notice.phase in ABOUT_ENDPOINT and notice.born_ms is not None:
-        # Older builds read no attempt in such a row, and no row with a further field.
+    if notice.phase in ENDPOINT_PHASES and notice.born_ms is not None:
+        # Older builds ignore the attempt id in such a row, and reject a row with another field.
         row[1] = str(notice.born_ms)
     if notice.phase is LoadPhase.STARTED:
         parts = _prompt_rows(notice.prompt_parts)
@@ -106,9 +106,9 @@
 
 
 def read_notice(row: list) -> LoadNotice:
-    """Return the load notice of a row."""
+    """Decode a load notice."""
     phase, attempt_id, endpoint_id, *prompt = row
-    if phase in ABOUT_ENDPOINT:
+    if phase in ENDPOINT_PHASES:
         born_ms = int(attempt_id) if attempt_id else None
         return LoadNotice(LoadPhase(phase), "", text(endpoint_id), born_ms=born_ms)
     if not prompt:
@@ -125,7 +125,7 @@
 
 
 def request_row(request: SelectionRequest) -> list:
-    """Return the row of a request to select an endpoint."""
+    """Encode a request to select an endpoint."""
     demand = request.demand
     return [
         request.number,
@@ -144,7 +144,7 @@
 
 
 def read_request(row: list) -> SelectionRequest:
-    """Return the request of a row."""
+    """Decode a request to select an endpoint."""
     count, attempt_id, tried, avoided, *demand = row
     return SelectionRequest(
         whole(count), text(attempt_id), texts(tried), texts(avoided), _read_demand(demand)
@@ -152,7 +152,7 @@
 
 
 def _read_demand(row: list) -> Demand:
-    """Return the demand at the end of a request's row."""
+    """Decode the demand from the last fields of a request's row."""
     request_id, service, failure_domain, priority, target_s, prompt_tokens, parts, fetches = row
     return Demand(
         request_id=text(request_id),
@@ -167,13 +167,13 @@
 
 
 def reply_row(reply: SelectionReply) -> list:
-    """Return the row of a coordinator's reply."""
+    """Encode a coordinator's reply."""
     refusal = None if reply.overload is None else _overload_row(reply.overload)
     return [reply.number, reply.endpoint_id, reply.source_id, reply.fetched_tokens, refusal]
 
 
 def read_reply(row: list) -> SelectionReply:
-    """Return the reply of a row."""
+    """Decode a coordinator's reply."""
     count, endpoint_id, source_id, fetched_tokens, refusal = row
     overload = None if refusal is None else Overload(*(number(field) for field in refusal))
     return SelectionReply(
@@ -182,40 +182,41 @@
 
 
 def _overload_row(overload: Overload) -> list:
-    """Return the row of an overload, in the order of the record's fields."""
+    """Encode an overload, in the order of the class's fields."""
     return [overload.backlog_s, overload.longest_wait_s, overload.in_flight]
 
 
 def _prompt_rows(parts: tuple[PromptPart, ...]) -> list[list]:
-    """Return a row for each part of a prompt."""
+    """Encode each part of a prompt as a row."""
     return [[part.part_id, part.tokens] for part in parts]
 
 
 def _read_prompt(rows: list[list]) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt from their rows."""
+    """Decode the parts of a prompt."""
     return tuple(PromptPart(text(part_id), whole(tokens)) for part_id, tokens in rows)
 
 
 def configuration_body(document: ConfigurationDocument) -> bytes:
-    """Return the compressed body that holds a configuration as the operators wrote it."""
+    """Encode a configuration, byte for byte as the operators wrote it, as a compressed body."""
     raw = base64.b64encode(document.raw).decode()
     return _compress({"version": document.version, "document": raw})
 
 
 def read_configuration(body: dict) -> ConfigurationDocument:
-    """Return the configuration of a decompressed body."""
+    """Decode a configuration from a decompressed body."""
     return ConfigurationDocument(body["version"], base64.b64decode(body["document"]))
 
 
 def snapshot_body(aged: AgedSnapshot) -> bytes:
-    """Return the compressed body that holds a list of endpoints and its age."""
+    """Encode an endpoint list and its age as a compressed body."""
     entries = aged.snapshot.entries
     body = {
         "revision": aged.snapshot.revision,
         "age_s": aged.age_s,
         "entries": [_endpoint_row(entry) for entry in entries],
     }
-    # Beside the rows, because older builds take rows of six fields only and pass over the rest.
+    # Kept outside the rows, because older builds accept rows of six fields only but ignore unknown
+    # fields of the body.
     starts = {entry.endpoint_id: entry.born_ms for entry in entries if entry.born_ms is not None}
     spot = [entry.endpoint_id for entry in entries if entry.spot]
     cold = [entry.endpoint_id for entry in entries if entry.cold]
@@ -224,7 +225,7 @@
 
 
 def read_snapshot(body: dict) -> AgedSnapshot:
-    """Return the list of endpoints of a decompressed body."""
+    """Decode an endpoint list and its age from a decompressed body."""
     starts = body.get("born", {})
     spot, cold = set(body.get("spot", ())), set(body.get("cold", ()))
     entries = tuple(
@@ -235,7 +236,7 @@
 
 
 def _endpoint_row(entry: EndpointEntry) -> list:
-    """Return the row of an endpoint, in the order of the record's fields."""
+    """Encode an endpoint, in the order of the class's fields."""
     return [
         entry.endpoint_id,
         entry.service,
@@ -251,9 +252,9 @@
 
 
 def decompress(body: bytes) -> dict:
-    """Return a reply's body as a mapping.
+    """Decompress the body of a reply and parse its JSON.
 
     Raises:
-      ValueError, zlib.error: It is not one.
+      ValueError, zlib.error: The body is not compressed JSON.
     """
     return orjson.loads(zlib.decompress(body))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/codec_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/codec_test.py
@@ -1,4 +1,4 @@
-"""Tests of codec.py: the bytes that nodes of two builds exchange."""
+"""Tests of codec.py: the encoding must not change, since nodes of two builds exchange the bytes."""
 
 import zlib
 
@@ -38,7 +38,7 @@
 CHOSEN = SelectionReply(5, "e1", "e2", 800, None)
 REFUSED = SelectionReply(5, "", "", 0, Overload(1.25, 0.5, 60))
 
-# As the build before this module wrote them.
+# As encoded by a build older than this module.
 STATE_BYTES = b'["0a1b2c3d4e",7,1,42,0.12,987654,1.57]'
 MEMBER_BYTES = (
     b'["0a1b2c3d4e",7,1,42,0.12,987654,1.57,"edge-1","10.1.0.4:8229","10.1.0.4:8227","perth-a"]'
--- a/packages/springbridge-node/springbridge_node/gateway/peers/config_catch_up_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/config_catch_up_test.py
@@ -13,20 +13,20 @@
 
 
 class FollowerAt:
-    """A configuration follower that only records what it has to catch up with."""
+    """A configuration follower that only records the versions it is to catch up with."""
 
     def __init__(self, version):
         self.version = version
         self.asked = []
 
     async def catch_up(self, newest, fetch):
-        """Record the version and reach it."""
+        """Record the version and take it as reached."""
         self.asked.append(newest)
         self.version = max(self.version, newest)
 
 
 class NoPeerClient:
-    """A peer client that is never used itself."""
+    """A peer client that is passed on but never called."""
 
     configuration_after = None
 
@@ -42,13 +42,13 @@
 
 @pytest.fixture
 def steps(membership):
-    """Return a function that wakes a follower's catch-up and returns what it asked for."""
+    """Return a function that wakes a catch-up and returns the versions it caught up with."""
 
     def run(follower, wake):
         async def body():
             catch_up = ConfigurationCatchUp(membership, follower, NoPeerClient())
             getattr(catch_up, wake)()
-            # A step that was not woken waits for ever.
+            # A step that is not woken waits forever.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.05):
                     await catch_up.step()
--- a/packages/springbridge-node/springbridge_node/gateway/peers/conftest.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the peers' tests: a clock, a large fleet, and datagrams without a network."""
+"""Fixtures of the tests in this folder: a clock, a large fleet, and datagrams without a network."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests advance by hand."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -26,7 +26,11 @@
 
 
 class Wire:
-    """Datagrams that reach their receivers at once, except for addresses that are silent."""
+    """A network that delivers datagrams at once, except to addresses in `silent`.
+
+    Attributes:
+      asked: The receivers of selection requests, in order.
+    """
 
     def __init__(self):
         self.ends = {}
@@ -34,13 +38,13 @@
         self.asked = []
 
     def end(self, address):
-        """Return the datagrams of one node."""
+        """Return the socket of a node with an address."""
         self.ends[address] = WireEnd(self, address)
         return self.ends[address]
 
 
 class WireEnd(PeerDatagrams):
-    """One node's datagrams."""
+    """The socket of one node."""
 
     def __init__(self, wire, address):
         super().__init__(None, 7000)
@@ -48,7 +52,7 @@
         self._address = address
 
     def send(self, kind, rows, peer_addresses):
-        """Hand rows to the receivers' handlers."""
+        """Pass rows to the receivers' handlers directly."""
         for address in peer_addresses:
             if kind is Kind.SELECTION_REQUEST:
                 self._wire.asked.append(address)
@@ -58,7 +62,7 @@
 
 @pytest.fixture
 def clock():
-    """Return a clock that stands still."""
+    """Return a clock that advances only when a test changes it."""
     return Clock()
 
 
@@ -70,7 +74,7 @@
 
 @pytest.fixture
 def demand():
-    """Return what a request with a shared prompt demands in failure domain a."""
+    """Return the demand of a request with a shared prompt part, in failure domain a."""
     parts = (PromptPart("shared", 13_000), PromptPart("own", 3_000))
     return Demand("q", "model", "a", 1, 2.5, 16_000, parts, True)
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/crash_rows.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/crash_rows.py
@@ -1,4 +1,4 @@
-"""Rows about requests that end endpoints, as nodes send them to each other; see codec.py."""
+"""Encodes and decodes the rows about crash records and trials; see codec.py."""
 
 from dataclasses import dataclass
 
@@ -7,19 +7,19 @@
 
 from springbridge_node.gateway.peers.row_fields import number, text, texts, whole
 
-# Decimals of an age in seconds. Far finer than the seconds that count.
+# Decimal places of an age in seconds. Far finer than the seconds for which crashes are compared.
 AGE_DECIMALS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class TrialRequest:
-    """A node asks whether it may send a request under suspicion to an endpoint.
+    """A request for permission to send a suspect request to an endpoint.
 
     Attributes:
-      number: The node's own count of its questions; the reply repeats it.
-      holder: Names the try of the request, in the whole fleet.
-      left_s: Seconds left to the request's deadline.
-      record: What the node knows of the request.
+      number: Sequence number of the trial request at its node; the reply repeats it.
+      holder: Id of the suspect request's attempt, unique in the fleet.
+      left_s: Seconds left to the suspect request's deadline.
+      record: The requesting node's crash record of the suspect request.
     """
 
     number: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrialReply:
-    """The answer to it, with what the answering node knows of the request."""
+    """The coordinator's reply to a trial request, with its crash record of the suspect request."""
 
     number: int
     permission: Permission
@@ -40,7 +40,7 @@
 
 
 def record_row(record: ToldRecord) -> list:
-    """Return the row of a record."""
+    """Encode a crash record."""
     crashes = [
         [crash.name, round(crash.ago_s, AGE_DECIMALS), int(crash.on_trial)]
         for crash in record.crashes
@@ -50,7 +50,7 @@
 
 
 def read_record(row: list) -> ToldRecord:
-    """Return the record of a row."""
+    """Decode a crash record."""
     fingerprint, crashes, ago_s, *_ = row
     return ToldRecord(
         text(fingerprint),
@@ -65,16 +65,16 @@
 
 
 def _age(value: object) -> float:
-    """Return an age; one below zero would count as news for longer than it is.
+    """Decode an age; a negative one counts as 0, or the crash would count as recent for too long.
 
     Raises:
-      ValueError: It is no number.
+      ValueError: The value is not a number.
     """
     return max(0.0, number(value))
 
 
 def request_row(request: TrialRequest) -> list:
-    """Return the row of a question."""
+    """Encode a trial request."""
     left_s = round(request.left_s, AGE_DECIMALS)
     record = record_row(request.record)
     return [
@@ -88,7 +88,7 @@
 
 
 def read_request(row: list) -> TrialRequest:
-    """Return the question of a row."""
+    """Decode a trial request."""
     count, holder, service, endpoint_id, left_s, record, *_ = row
     return TrialRequest(
         whole(count),
@@ -101,18 +101,18 @@
 
 
 def end_row(holder: str, record: ToldRecord) -> list:
-    """Return the row that tells of the end of a trial."""
+    """Encode the end of a trial, with the sender's crash record."""
     return [holder, record_row(record)]
 
 
 def read_end(row: list) -> tuple[str, ToldRecord]:
-    """Return who held the trial of a row, and what is known of the request now."""
+    """Decode the end of a trial: the attempt that held it, and the sender's crash record."""
     holder, record, *_ = row
     return text(holder), read_record(record)
 
 
 def reply_row(reply: TrialReply) -> list:
-    """Return the row of an answer."""
+    """Encode a trial reply."""
     permission = reply.permission
     wait_s = round(permission.wait_s, AGE_DECIMALS)
     answer = [int(permission.answer), list(permission.avoided), wait_s]
@@ -120,7 +120,7 @@
 
 
 def read_reply(row: list) -> TrialReply:
-    """Return the answer of a row."""
+    """Decode a trial reply."""
     count, answer, avoided, wait_s, record, *_ = row
     permission = Permission(Answer(whole(answer)), tuple(texts(avoided)), number(wait_s))
     return TrialReply(whole(count), permission, read_record(record))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/crash_rows_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/crash_rows_test.py
@@ -1,4 +1,4 @@
-"""Tests of crash_rows.py: rows come back as they were sent, and what no node sends is refused."""
+"""Tests of crash_rows.py: rows decode to what was encoded, and malformed rows are rejected."""
 
 import pytest
 from springbridge.crash_records import ToldCrash, ToldRecord
@@ -14,7 +14,7 @@
 
 
 def test_a_record_s_row_and_back():
-    # Nodes of two builds exchange these rows.
+    # The format must not change: nodes of two builds exchange these rows.
     assert_that(crash_rows.record_row(RECORD), Equals(ROW))
     assert_that(crash_rows.read_record(ROW), Equals(RECORD))
     without = ToldRecord("f00d")
--- a/packages/springbridge-node/springbridge_node/gateway/peers/datagrams.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/datagrams.py
@@ -1,8 +1,8 @@
-"""Datagrams between nodes: messages that may be lost without harm.
+"""UDP datagrams between nodes, for messages that may be lost.
 
-What must arrive is fetched over connections. All nodes use the same port, so that a peer's IP
-number is enough to reach it. A datagram is a JSON list of its kind and its rows; codec.py has the
-rows.
+Data that must arrive is fetched over HTTP connections instead. All nodes use the same port, so that
+a peer's IP address is enough to reach it. A datagram is a JSON list of its kind and its rows;
+codec.py encodes the rows.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 
 from springbridge_node import logs
 
-# Seconds between two log lines about datagrams that were dropped. A peer that sends nothing but
-# such datagrams costs one line a second.
+# Minimum seconds between two log lines about dropped datagrams, so that a peer that sends only
+# malformed ones causes one line a second.
 DROPPED_LOG_INTERVAL_S = 1.0
 
 Handler = Callable[[list, str], None]
 
 
 class Kind(IntEnum):
-    """What a datagram is; the number is sent and must not change."""
+    """Type of a datagram; the number is sent and must not change."""
 
     DIGEST = 1
     LOAD = 2
@@ -45,10 +45,15 @@
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """The socket for datagrams, and who handles each kind."""
+    """The UDP socket, which dispatches datagrams to a handler for each kind."""
 
     def __init__(self, membership: Membership, port: int) -> None:
-        """Keep the membership, which knows the peers, and the port of all nodes."""
+        """Create an unbound protocol; use open() to bind it.
+
+        Args:
+          membership: Has the addresses of peers, for sample_peers().
+          port: The port that all nodes use.
+        """
         self._membership = membership
         self._port = port
         self._handlers: dict[int, Handler] = {}
@@ -57,10 +62,10 @@
 
     @classmethod
     async def open(cls, membership: Membership, ip: str, port: int) -> "PeerDatagrams":
-        """Bind the port.
+        """Bind the port at an IP address of this host.
 
         Raises:
-          OSError: The address is in use or belongs to another host.
+          OSError: The address is in use or not an address of this host.
         """
         datagrams = cls(membership, port)
         loop = asyncio.get_running_loop()
@@ -68,20 +73,20 @@
         return datagrams
 
     def close(self) -> None:
-        """Close the socket once what was sent is out."""
+        """Close the socket after pending datagrams are sent."""
         if self._transport is not None:
             self._transport.close()
 
     def handle(self, kind: Kind, handler: Handler) -> None:
-        """Set who takes the rows of a kind, with the sender's IP number and port."""
+        """Register the handler of a kind, called with the rows and the sender's "ip:port"."""
         self._handlers[int(kind)] = handler
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """Keep the socket."""
+        """Store the transport; called by asyncio."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Give a datagram to its handler; one that cannot be read is dropped and logged."""
+        """Dispatch a datagram to its handler; drop and log a malformed one."""
         try:
             kind, rows = orjson.loads(data)
             self._handlers[kind](rows, f"{addr[0]}:{addr[1]}")
@@ -89,7 +94,7 @@
             self._log_dropped(addr[0], exc)
 
     def _log_dropped(self, sender_ip: str, exc: Exception) -> None:
-        """Log a dropped datagram unless one was logged a moment ago."""
+        """Log a dropped datagram, at most once in DROPPED_LOG_INTERVAL_S."""
         now_s = asyncio.get_running_loop().time()
         if now_s < self._next_dropped_log_s:
             return
@@ -97,10 +102,10 @@
         logs.event("peers.datagram_dropped", sender=sender_ip, kind=type(exc).__name__)
 
     def error_received(self, exc: OSError) -> None:
-        """Ignore that a peer's port is closed: its silence shows in the membership."""
+        """Ignore that a peer's port is closed: the failure detector notices its silence."""
 
     def send(self, kind: Kind, rows: list, peer_addresses: list[str]) -> None:
-        """Send rows to peers; nothing once the socket is closed."""
+        """Send rows to peers; does nothing before the socket is open or after close()."""
         if self._transport is None or self._transport.is_closing():
             return
         data = orjson.dumps([int(kind), rows])
@@ -108,6 +113,6 @@
             self._transport.sendto(data, (address.rpartition(":")[0], self._port))
 
     def sample_peers(self, limit: int) -> list[str]:
-        """Return the addresses of the peers that run, a random sample where there are more."""
+        """Return the addresses of reachable peers, a random sample if there are more than limit."""
         peers = [member.peer_address for member in self._membership.reachable()]
         return peers if len(peers) <= limit else random.sample(peers, limit)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/datagrams_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/datagrams_test.py
@@ -16,8 +16,8 @@
 
 
 def test_a_node_that_ends_frees_its_port():
-    # Seen once in a run of all tests: "Address already in use", as nodes of earlier tests held
-    # their ports until their memory was collected.
+    # Without close(), a node holds its port until garbage collection, and a later bind fails with
+    # "Address already in use".
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind((IP, 0))
         port = free.getsockname()[1]
--- a/packages/springbridge-node/springbridge_node/gateway/peers/foreign_datagrams_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/foreign_datagrams_test.py
@@ -1,4 +1,4 @@
-"""Tests of what peers send: rows that no node sends harm nothing that is known already."""
+"""Fuzz tests of datagram handling: malformed rows must not corrupt what a node knows already."""
 
 import random
 
@@ -22,7 +22,7 @@
 from springbridge_node.gateway.requests.selection_parts import SelectionParts
 from springbridge_node.gateway.telemetry import Telemetry
 
-# Datagrams that are drawn. Chosen as what a few seconds are enough for.
+# Number of random datagrams; they take a few seconds.
 DRAWN = 400
 FROM = ("10.0.0.9", 7000)
 
@@ -57,7 +57,7 @@
 
 
 def nearly(row):
-    """Draw rows that are like one of a node but for a field or two."""
+    """Generate rows that differ from a valid one in up to two fields."""
     spoilt = st.dictionaries(st.integers(0, len(row) - 1), json_values, max_size=2)
     return spoilt.map(lambda fields: [fields.get(index, value) for index, value in enumerate(row)])
 
@@ -81,7 +81,7 @@
 
 
 class Node:
-    """The parts of a node that take datagrams, with one peer and one endpoint known."""
+    """The parts of a node that receive datagrams, with one peer and one endpoint known."""
 
     def __init__(self):
         me, peer = (
@@ -102,7 +102,7 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def no_lines():
-    """Keep the dropped datagrams out of the log, which needs a running loop."""
+    """Disable the logging of dropped datagrams, which needs a running event loop."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(PeerDatagrams, "_log_dropped", lambda self, sender, exc: None)
         patch.setattr(logs, "event", lambda name, **fields: None)
@@ -116,7 +116,7 @@
     kind, rows = datagram
     node.datagrams.datagram_received(orjson.dumps([int(kind), rows]), FROM)
     assert_that(node.membership.incarnations(), Contains("peer"))
-    # What was taken in must not break what comes later.
+    # What was merged must not break later steps.
     known = Member("peer", "peer", "peer:1", "peer:2", "a", FIRST_HEARTBEAT + 2**40)
     node.membership.merge([known])
     node.gossip.send(node.membership.gossip_targets())
@@ -127,7 +127,7 @@
     assert_that(node.registry.find("e1").entry.slots, Equals(4))
 
 
-def test_what_is_no_datagram_of_a_node_is_dropped():
+def test_malformed_datagrams_are_dropped():
     node = Node()
     for data in (b"", b"\xff", b"{}", b"7", b"[1]", b'["1",[]]', b"[99,[]]", b"[1,[[]]]"):
         node.datagrams.datagram_received(data, FROM)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_log.py
@@ -1,11 +1,11 @@
-"""Logs the members that join, leave, fall silent or are heard again.
-
-Silence is the absence of a message, so nothing that arrives can log it: the members are compared
-at each beat instead. A line is written once for each change, with the age of the last heartbeat and
-the peer that told of it, so that a reader can tell a member that ended from one whose heartbeats
-come late, and either from a node that stood still itself (`node.stalled`). Where many members
-change alike at one beat, as when a fleet starts, one line names them all: a line for each would use
-up what the log may write in a second, and lines on requests would be lost.
+"""Logs members that join, leave, fall silent or are heard from again.
+
+Silence is the absence of a message, so no arriving message can trigger its log line: the live
+members are compared at each heartbeat instead. Each change is logged once, with the age of the last
+heartbeat and the peer that reported it, so that a reader can tell a member that ended from one
+whose heartbeats arrive late, and both from a stall of this node (`node.stalled`). If many members
+change alike at the same heartbeat, as when a fleet starts, one line names them all: a line for each
+would exhaust the log's rate limit, and lines about requests would be lost.
 """
 
 from enum import StrEnum
@@ -14,13 +14,13 @@
 
 from springbridge_node import logs
 
-# Members that change alike at one beat and still get a line each. Far below the lines that the log
-# writes in a second.
-LINES_AT_ONCE = 8
+# Maximum number of members that change alike at one heartbeat and get a line each. Far below the
+# number of lines that the log writes in a second.
+MAX_SINGLE_LINES = 8
 
 
 class Change(StrEnum):
-    """How a member has changed; the texts are in the log."""
+    """How a member has changed; the values appear in the log."""
 
     JOINED = "joined"
     HEARD = "heard"
@@ -29,17 +29,17 @@
 
 
 class MemberLog:
-    """Compares the live members at each beat with those of the beat before."""
+    """Compares the live members at each heartbeat with those at the previous one."""
 
     def __init__(self, membership: Membership) -> None:
-        """Start with no member known."""
+        """Start without known members, so that the first check logs all as joined."""
         self._membership = membership
         self._version = -1
         self._live: set[str] = set()
         self._silent: set[str] = set()
 
     def check(self) -> None:
-        """Log what has changed since the last check."""
+        """Log the members that have changed since the last check."""
         version = self._membership.live_version()
         if version == self._version:
             return
@@ -59,14 +59,14 @@
         self._silent = {each.member.incarnation for each in self._last_heard(self._silent)}
 
     def _last_heard(self, incarnations: set[str]) -> list[LastHeard]:
-        """Return how members were last heard of, without those that are forgotten."""
+        """Return the last heartbeat of each member, without members already removed."""
         found = [self._membership.last_heard(incarnation) for incarnation in sorted(incarnations)]
         return [heard for heard in found if heard is not None]
 
 
 def _log(change: Change, members: list[LastHeard]) -> None:
-    """Log members that have changed alike, each or all together."""
-    if len(members) > LINES_AT_ONCE:
+    """Log members with the same change, one by one or in a single line."""
+    if len(members) > MAX_SINGLE_LINES:
         _log_many(change, members)
         return
     for heard in members:
@@ -74,7 +74,7 @@
 
 
 def _log_many(change: Change, members: list[LastHeard]) -> None:
-    """Log many members in one line."""
+    """Log many members in a single line."""
     ages_s = [heard.ago_s for heard in members]
     logs.event(
         "members.changed",
@@ -86,7 +86,7 @@
 
 
 def _log_one(change: Change, heard: LastHeard) -> None:
-    """Log one member; each type with its fields by name, which the check of the pages reads."""
+    """Log one member. Each event spells out its fields, since the check of the docs parses them."""
     match change:
         case Change.JOINED:
             logs.event(
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_log_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_log_test.py
@@ -1,4 +1,4 @@
-"""Tests of member_log.py: which lines the comings and goings of members leave."""
+"""Tests of member_log.py: which log lines changes of members cause."""
 
 import random
 
@@ -8,7 +8,7 @@
 from testtools.matchers import Equals
 
 from springbridge_node import logs
-from springbridge_node.gateway.peers.member_log import LINES_AT_ONCE, MemberLog
+from springbridge_node.gateway.peers.member_log import MAX_SINGLE_LINES, MemberLog
 
 SUSPECT_S = 1.2
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def membership(clock):
-    """Return the view of a node that knows nobody yet."""
+    """Return the membership of a node that knows no peer yet."""
     me = Member("me", "me", "10.0.0.1:1", "", "a")
     return Membership(me, clock, random.Random(1), Pace(suspect_s=SUSPECT_S))
 
@@ -70,14 +70,14 @@
 def test_a_fleet_that_starts_falls_silent_and_comes_back_leaves_a_line_each(
     membership, clock, lines
 ):
-    # The log writes 400 lines at once and 200 a second: 195 members took all of that at a start,
-    # so that lines on requests were lost.
+    # The log writes 400 lines at once and 200 a second. A line for each of 195 members at a start
+    # exhausts that, so that lines about requests are lost.
     member_log = MemberLog(membership)
-    membership.merge(fleet(LINES_AT_ONCE + 1), told_by="p")
+    membership.merge(fleet(MAX_SINGLE_LINES + 1), told_by="p")
     member_log.check()
     clock.now_s += SUSPECT_S + 0.1
     member_log.check()
-    membership.merge(fleet(LINES_AT_ONCE + 1, heartbeat=2), told_by="p")
+    membership.merge(fleet(MAX_SINGLE_LINES + 1, heartbeat=2), told_by="p")
     member_log.check()
     told = [(name, fields["change"], fields["oldest_ms_ago"]) for name, fields in lines]
     expected = [
@@ -86,12 +86,12 @@
         ("members.changed", "heard", 0),
     ]
     assert_that(told, Equals(expected))
-    instances = {f"peer-{each}" for each in range(LINES_AT_ONCE + 1)}
+    instances = {f"peer-{each}" for each in range(MAX_SINGLE_LINES + 1)}
     assert_that([set(fields["instances"]) for _, fields in lines], Equals([instances] * 3))
 
 
 def test_a_few_members_that_change_together_leave_a_line_each(membership, lines):
     member_log = MemberLog(membership)
-    membership.merge(fleet(LINES_AT_ONCE), told_by="p")
+    membership.merge(fleet(MAX_SINGLE_LINES), told_by="p")
     member_log.check()
-    assert_that([name for name, _ in lines], Equals(["member.joined"] * LINES_AT_ONCE))
+    assert_that([name for name, _ in lines], Equals(["member.joined"] * MAX_SINGLE_LINES))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/own_member.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/own_member.py
@@ -1,4 +1,4 @@
-"""This node as its peers will know it."""
+"""Creates the membership entry of this node."""
 
 import os
 
@@ -8,15 +8,15 @@
 from springbridge_node.gateway.peers.peer_builds import FIRST_HEARTBEAT
 
 # Each digest goes to three peers whatever the size of the fleet, one of them in another failure
-# domain. A peer is suspected 1.2 s after its last heartbeat, which is more than four beats; in a
-# larger fleet the time grows with the hops that news takes.
+# domain. A peer is suspected 1.2 s after its last heartbeat, more than four heartbeat intervals; in
+# a larger fleet the timeout grows with the number of gossip hops.
 PACE = Pace(peers=3, suspect_s=1.2, stretch=stretch_by_hops)
 
 
 def new_member(
     instance: str, peer_address: str, caller_address: str, failure_domain: str
 ) -> Member:
-    """Return the member of a node that starts now, with an incarnation new at each start."""
+    """Return the member for a node that starts now, with a new random incarnation."""
     return Member(
         incarnation=os.urandom(5).hex(),
         instance=instance,
@@ -28,7 +28,7 @@
 
 
 def member_of(settings: GatewaySettings) -> Member:
-    """Return the member of the node with these settings."""
+    """Return the member for a node that starts with these settings."""
     return new_member(
         settings.name,
         settings.addresses.peers,
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_builds.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_builds.py
@@ -1,22 +1,22 @@
-"""What the builds of peers can read, told from their heartbeats.
+"""Determines from a peer's heartbeat which messages its build supports.
 
-A row has no field for a version that older builds would pass over. The heartbeat only has to count
-up, so the number that it starts from tells the build.
+A member's row has no version field, and older builds would not ignore an additional one. The
+heartbeat only has to increase, so the number from which it starts identifies the build.
 """
 
 from enum import Enum, auto
 
-# Heartbeat that builds start from which read ages but answer no requests for members. Builds before
-# them count from 0 and do not come near it: four beats a second for eight years.
+# First heartbeat of builds that read ages but answer no member requests. Earlier builds count from
+# 0 and would reach it only after eight years at four heartbeats a second.
 FIRST_HEARTBEAT_WITH_AGES = 1_000_000_000
-# The same of builds that answer those but no questions for permits.
+# First heartbeat of builds that answer member requests but no permit requests.
 FIRST_HEARTBEAT_WITH_LOOKUPS = 2_000_000_000
-# Heartbeat that a node of this build starts from.
+# First heartbeat of this build.
 FIRST_HEARTBEAT = 3_000_000_000
 
 
 class Build(Enum):
-    """Which digests a peer reads, each with all before it."""
+    """Message formats that a peer supports; each includes those before it."""
 
     ROWS = auto()
     AGES = auto()
@@ -24,12 +24,12 @@
 
 
 def build_of(heartbeat: int) -> Build:
-    """Return the build of a member with this heartbeat."""
+    """Return which formats a member with this heartbeat supports."""
     if heartbeat >= FIRST_HEARTBEAT_WITH_LOOKUPS:
         return Build.LOOKUPS
     return Build.AGES if heartbeat >= FIRST_HEARTBEAT_WITH_AGES else Build.ROWS
 
 
 def grants_permits(heartbeat: int) -> bool:
-    """Return whether a member with this heartbeat answers questions for permits."""
+    """Return whether a member with this heartbeat answers permit requests."""
     return heartbeat >= FIRST_HEARTBEAT
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_client.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_client.py
@@ -1,7 +1,7 @@
-"""Fetches from peers what this node lacks: the configuration and the list of endpoints.
+"""Fetches the configuration and the endpoint list from peers over HTTP.
 
-Peers spare the store most calls, and they help a node that the store turns away. While no peer is
-known, the seeds of the settings are asked.
+Fetching from peers spares the store most calls, and serves a node whose calls the store refuses.
+While no peer is known, the configured seeds are asked.
 """
 
 import random
@@ -18,28 +18,34 @@
 from springbridge_node.gateway.peers import codec
 from springbridge_node.gateway.peers.peer_handlers import CONFIGURATION_PATH, ENDPOINTS_PATH
 
-# Peers that are asked for the same. Two, so that one dead peer among them does no harm.
-PEERS_ASKED = 2
-# Seconds that a peer has to reply. It stays under the 1.1 s for which a list counts as confirmed.
+# Maximum number of peers asked for the same data. Two, so that one dead peer does not prevent a
+# reply.
+MAX_QUERIED_PEERS = 2
+# Timeout of a call in seconds. Below the 1.1 s for which an endpoint list counts as confirmed.
 TIMEOUT_S = 0.8
-# The status of a peer that has what was asked for.
+# Status of a reply that has the requested data.
 OK = 200
-# What codec.py raises on a body that no node sends.
-UNREADABLE = (ValueError, TypeError, KeyError, IndexError)
+# Exceptions that codec.py raises on a malformed body.
+DECODE_ERRORS = (ValueError, TypeError, KeyError, IndexError)
 
 T = TypeVar("T")
 
 
 class PeerClient:
-    """Asks peers for what this node lacks."""
+    """Fetches configurations and endpoint lists from peers."""
 
     def __init__(self, membership: Membership, seeds: Callable[[], list[str]]) -> None:
-        """Keep the membership, and the addresses to ask while no peer is known."""
+        """Create a client.
+
+        Args:
+          membership: Has the peers to ask.
+          seeds: Returns the addresses to ask while no peer is known.
+        """
         self._membership = membership
         self._seeds = seeds
 
     async def configuration_after(self, version: int) -> ConfigurationDocument | None:
-        """Return a configuration newer than a version from the first peer that gives one."""
+        """Return a configuration newer than a version from the first peer that has one, or None."""
         ahead = [
             member.peer_address
             for member in self._membership.reachable()
@@ -52,10 +58,10 @@
         return None
 
     async def endpoints(self, peer: str | None) -> AgedSnapshot | None:
-        """Return a peer's list of endpoints.
+        """Return a peer's endpoint list, or None if no peer that was asked has one.
 
         Args:
-          peer: Address of the peer; None for the youngest list that a few peers have.
+          peer: Address of the peer; None for the most recent list among a few random peers.
         """
         peers = [member.peer_address for member in self._membership.reachable()] or self._seeds()
         asked = [peer] if peer else _sample(peers)
@@ -65,22 +71,22 @@
 
 
 def _sample(addresses: list[str]) -> list[str]:
-    """Return up to PEERS_ASKED of the addresses, chosen at random."""
-    return random.sample(addresses, min(PEERS_ASKED, len(addresses)))
+    """Return up to MAX_QUERIED_PEERS addresses, chosen at random."""
+    return random.sample(addresses, min(MAX_QUERIED_PEERS, len(addresses)))
 
 
 async def _fetch(address: str, path: str, read: Callable[[dict], T]) -> T | None:
-    """Return what a peer replies, or None if it gives nothing or nothing that can be read.
+    """Return a peer's decoded reply, or None if it has no data or its reply is malformed.
 
-    A failure is logged: at most PEERS_ASKED lines for each step of the task that asks, and those
-    steps are 0.2 s apart or more.
+    A failure is logged: at most MAX_QUERIED_PEERS lines for each step of the calling task, whose
+    steps are 0.2 s or more apart.
     """
     client = HttpClient(address)
     try:
         answer = await client.call("GET", path, timeout_s=TIMEOUT_S)
-        # No line for another status: the peer has started a moment ago and has nothing to give.
+        # Another status is not logged: the peer has just started and has no data yet.
         return read(codec.decompress(answer.body)) if answer.status == OK else None
-    except (CallFailedError, zlib.error, *UNREADABLE) as exc:
+    except (CallFailedError, zlib.error, *DECODE_ERRORS) as exc:
         logs.event("peers.fetch_failed", address=address, path=path, detail=str(exc))
         return None
     finally:
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_discovery.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_discovery.py
@@ -1,8 +1,8 @@
-"""Finds peers when the seeds of the settings do not: by rows that nodes keep in the store.
+"""Finds peers through the store when the configured seeds do not answer.
 
-Seeds may be stale or down. A few nodes therefore write their peer addresses into the store, and a
-node that knows no live peer reads them. Each call to the store costs, so the nodes that write are
-those that read the store for all, and a node with peers does not read.
+Seeds may be stale or down. A few nodes therefore write their peer addresses to the store, and a
+node that knows no live peer reads them. Each call to the store is costly, so the nodes that write
+are those that read the store on behalf of the others, and a node with peers does not read.
 """
 
 from collections.abc import Callable
@@ -15,16 +15,16 @@
 from springbridge_node.gateway.config.platform_store import PlatformStore
 from springbridge_node.gateway.config.store_readers import StoreReaders
 
-# Seconds between two looks; each reads the store only while this node is alone. Long beside the
-# time in which a digest of a peer arrives, to spare the store.
+# Seconds between two steps; each reads the store only while this node knows no live peer. Long
+# compared with the time in which a peer's digest arrives, to limit the load on the store.
 DISCOVERY_INTERVAL_S = 2.0
-# Seconds before the first look, in which seeds may answer without a call to the store. Like the
-# interval.
+# Seconds before the first step, within which seeds may answer without a call to the store. Equal to
+# the interval.
 DISCOVERY_DELAY_S = 2.0
 
 
 class PeerDiscovery:
-    """Announces this node in the store, and reads who else did while it is alone."""
+    """Announces this node in the store, and reads announced peers while it knows no live one."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
         readers: StoreReaders,
         seeds: Callable[[], tuple[str, ...]],
     ) -> None:
-        """Keep the parts.
+        """Start without an announcement.
 
         Args:
-          seeds: Returns the peer addresses of the settings as they are now.
+          seeds: Returns the seed addresses of the current settings.
         """
         self._membership = membership
         self._store = store
@@ -45,22 +45,22 @@
         self._announced = False
 
     def announce_again(self) -> None:
-        """Announce this node soon: the store has come back from an older copy."""
+        """Announce this node at the next step: the store was restored from an older copy."""
         self._announced = False
 
     async def step(self) -> None:
-        """Announce this node if it has to, and look for peers if it has none."""
+        """Announce this node if that is its role, and read peers if it knows no live one."""
         if not self._announced and self._readers.include_me(FEED_READERS):
             await self._announce()
         if self._is_alone():
             await self._read_nodes()
 
     def _is_alone(self) -> bool:
-        """Return whether at most this node itself is known to be live."""
+        """Return whether this node knows no live peer."""
         return len(self._membership.live()) < 2
 
     async def _announce(self) -> None:
-        """Write this node's peer address; the next step tries again after a failure."""
+        """Write this node's peer address to the store; after a failure the next step retries."""
         match await self._store.announce(self._membership.me.peer_address):
             case Success(_):
                 self._announced = True
@@ -68,7 +68,7 @@
                 logs.event("peers.announce_failed", detail=problem.detail)
 
     async def _read_nodes(self) -> None:
-        """Add the announced nodes to the seeds, from which gossip takes peers to try."""
+        """Add the announced addresses to the seeds among which gossip picks targets."""
         announced: list[str] = []
         match await self._store.read_nodes():
             case Success(addresses):
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_discovery_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_discovery_test.py
@@ -1,4 +1,4 @@
-"""Tests of peer_discovery.py: what a node without peers does with the store."""
+"""Tests of peer_discovery.py: when a node announces itself in the store and reads peers from it."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class StoreOfNodes:
-    """A store with rows of nodes, or one that is out."""
+    """A store with the rows of nodes, which can be made unavailable."""
 
     def __init__(self):
         self.is_out = False
@@ -29,21 +29,21 @@
         self.reads = 0
 
     async def announce(self, peer_address):
-        """Take a row."""
+        """Record an announcement, unless the store is unavailable."""
         if self.is_out:
             return OUT
         self.announced.append(peer_address)
         return Success(None)
 
     async def read_nodes(self):
-        """Return the rows."""
+        """Return the announced addresses, unless the store is unavailable."""
         self.reads += 1
         return OUT if self.is_out else Success([ANNOUNCED])
 
 
 @pytest.fixture
 def store():
-    """Return a store that answers."""
+    """Return a store that is available."""
     return StoreOfNodes()
 
 
@@ -62,14 +62,14 @@
 
 @pytest.fixture
 def logged(monkeypatch):
-    """Return the list that collects the log types."""
+    """Return the list that collects the names of logged events."""
     found = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: found.append(name))
     return found
 
 
 def targets(membership):
-    """Return whom a node without peers tries in many beats."""
+    """Return the addresses that a node without peers picks in 50 heartbeats."""
     return {address for _ in range(50) for address in membership.gossip_targets()}
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/peer_handlers.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/peer_handlers.py
@@ -1,6 +1,6 @@
-"""Answers peers that ask for this node's configuration or list of endpoints.
+"""HTTP handlers that serve this node's configuration and endpoint list to peers.
 
-The bodies are compressed, since many nodes ask at the same moment and some have narrow links.
+The bodies are compressed, since many nodes fetch them at the same moment and some have slow links.
 """
 
 from collections.abc import Callable
@@ -23,25 +23,25 @@
 def peer_handlers(
     configuration: Callable[[], ConfigurationFollower], registry: EndpointRegistry
 ) -> dict[str, Handler]:
-    """Return the handlers by path; each replies 404 while this node has nothing to give."""
+    """Return the handlers by path; each replies 404 while this node has no data."""
 
-    def give_configuration(query: dict[str, str]) -> Reply:
+    def serve_configuration(query: dict[str, str]) -> Reply:
         document = configuration().document
         if document is None:
             return Reply(404)
         return Reply(200, _configuration_body(document), COMPRESSED)
 
-    def give_endpoints(query: dict[str, str]) -> Reply:
+    def serve_endpoints(query: dict[str, str]) -> Reply:
         if registry.revision < 0:
             return Reply(404)
         snapshot = EndpointSnapshot(registry.revision, registry.entries())
         body = codec.snapshot_body(AgedSnapshot(snapshot, registry.age_s()))
         return Reply(200, body, COMPRESSED)
 
-    return {CONFIGURATION_PATH: give_configuration, ENDPOINTS_PATH: give_endpoints}
+    return {CONFIGURATION_PATH: serve_configuration, ENDPOINTS_PATH: serve_endpoints}
 
 
 @lru_cache(maxsize=1)
 def _configuration_body(document: ConfigurationDocument) -> bytes:
-    """Return the body for a configuration, made once for all peers that ask for it."""
+    """Return the body of a configuration, encoded once for all peers that fetch it."""
     return codec.configuration_body(document)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/row_fields.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/row_fields.py
@@ -1,48 +1,49 @@
-"""Checks the fields of rows that peers send, so that nothing of another type is taken in.
+"""Checks the types of the fields of rows that peers send.
 
-A value of another type would do its harm later, where rows of other nodes are compared with it.
+A value of another type would cause an error only later, where it is compared with values from other
+nodes.
 """
 
 
 def text(value: object) -> str:
-    """Return a value that is a text.
+    """Return a value after checking that it is a string.
 
     Raises:
-      ValueError: It is none.
+      ValueError: It is not.
     """
     if not isinstance(value, str):
-        raise ValueError("no text")
+        raise ValueError("not a string")
     return value
 
 
 def whole(value: object) -> int:
-    """Return a value that is a whole number.
+    """Return a value after checking that it is an integer; a bool is not.
 
     Raises:
-      ValueError: It is none.
+      ValueError: It is not.
     """
     if not isinstance(value, int) or isinstance(value, bool):
-        raise ValueError("no whole number")
+        raise ValueError("not an integer")
     return value
 
 
 def number(value: object) -> float:
-    """Return a value that is a number.
+    """Return a value after checking that it is an integer or a float; a bool is neither.
 
     Raises:
-      ValueError: It is none.
+      ValueError: It is not.
     """
     if not isinstance(value, int | float) or isinstance(value, bool):
-        raise ValueError("no number")
+        raise ValueError("not a number")
     return value
 
 
 def texts(values: object) -> list[str]:
-    """Return a value that is a list of texts.
+    """Return a value after checking that it is a list of strings.
 
     Raises:
-      ValueError: It is none.
+      ValueError: It is not.
     """
     if not isinstance(values, list):
-        raise ValueError("no list")
+        raise ValueError("not a list")
     return [text(value) for value in values]
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_messages.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_messages.py
@@ -1,4 +1,4 @@
-"""What a node and a coordinator say to each other about the endpoint for one attempt."""
+"""Messages of remote selection: a node's request to a coordinator, and the reply."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SelectionRequest:
-    """A node asks a coordinator to select an endpoint.
+    """A node's request to a coordinator to select an endpoint for an attempt.
 
     Attributes:
-      number: The node's own count of its requests; the reply repeats it.
-      attempt_id: Names the attempt among those of all nodes.
+      number: Sequence number of the selection request at its node; the reply repeats it.
+      attempt_id: Id of the attempt, unique in the fleet.
       tried: Ids of the endpoints that have had the request already.
-      avoided: Ids of further endpoints that the node cannot use for now.
+      avoided: Ids of other endpoints that the node cannot use at present.
     """
 
     number: int
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SelectionReply:
-    """A coordinator's reply.
+    """A coordinator's reply to a selection request.
 
     Attributes:
-      number: The number of the request that it answers.
+      number: The number of the request.
       endpoint_id: The selected endpoint, "" if there is none.
-      source_id: An endpoint from which to fetch cached prompt tokens, "" for none.
-      fetched_tokens: Prompt tokens that the source has cached; 0 without a source.
-      overload: Why the request is to be refused if all its endpoints are overloaded; else None.
+      source_id: Id of an endpoint from which to fetch cached prompt tokens, "" for none.
+      fetched_tokens: Number of prompt tokens that the source has cached; 0 without a source.
+      overload: Set if the request is to be refused because all its endpoints are overloaded.
     """
 
     number: int
--- a/packages/springbridge-node/springbridge_node/gateway/peers/statement_changes_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/statement_changes_log.py
@@ -1,4 +1,4 @@
-"""Logs changes of what endpoints say of themselves."""
+"""Logs changes in the statements of endpoints: rate limits, leaving and cold starts."""
 
 from collections.abc import Mapping, Set
 
@@ -7,16 +7,17 @@
 
 from springbridge_node import logs
 
-# Source of a change that this node saw itself; in place of a peer's address.
+# Source, in the log, of a change that this node took from an endpoint's answer itself; otherwise
+# the source is a peer's address.
 ANSWER = "answer"
 
 
 def log_change(change: RateChange, source: str, age_s: float) -> None:
-    """Log that a rate came, changed or ended.
+    """Log that a rate limit was set, changed or ended.
 
     Args:
-      source: ANSWER, or the address of the peer that told of it.
-      age_s: How long ago the answer with it came, in seconds.
+      source: ANSWER, or the address of the peer that reported it.
+      age_s: Seconds since the answer with the statement arrived.
     """
     logs.event(
         "engine.rate_changed",
@@ -32,14 +33,19 @@
     """Log that an endpoint leaves.
 
     Args:
-      source: ANSWER, or the address of the peer that told of it.
-      request_id: The request that was answered so; "" if a peer told.
+      source: ANSWER, or the address of the peer that reported it.
+      request_id: Id of the request whose answer stated it; "" if a peer reported it.
     """
     logs.event("engine.leaves", engine=endpoint_id, source=source, request_id=request_id)
 
 
 def log_cold(before: Set[EndpointIncarnation], after: Mapping[EndpointIncarnation, float]) -> None:
-    """Log which endpoints have a rate from now on because they are cold, and which no more."""
+    """Log endpoints that now have a rate limit because they are cold, and those that no longer do.
+
+    Args:
+      before: The cold endpoints so far.
+      after: The cold endpoints now, with their rates per second.
+    """
     for incarnation in sorted(after.keys() - before, key=_id):
         logs.event("engine.cold", engine=incarnation.endpoint_id, per_s=after[incarnation])
     for incarnation in sorted(before - after.keys(), key=_id):
--- a/packages/springbridge-node/springbridge_node/gateway/peers/trial_coordination.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/trial_coordination.py
@@ -1,6 +1,7 @@
-"""Which nodes keep the crashes of a service and grant the trials of its requests.
+"""Determines which nodes keep the crash records of a service and grant trials of its requests.
 
-Applies springbridge/trials.py to the live members, and keeps the result until these change.
+Applies the rule of springbridge/trials.py to the live members, and caches the result until these
+change.
 """
 
 from springbridge.membership import Member, Membership
@@ -11,7 +12,7 @@
     """The trial coordinators of each service as this node sees them."""
 
     def __init__(self, membership: Membership) -> None:
-        """Keep the membership."""
+        """Create a view of the coordinators among the live members of a membership."""
         self._membership = membership
         self._version = -1
         self._by_service: dict[str, list[Member]] = {}
