--- a/bench/silence.py
+++ b/bench/silence.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 import typer
-from springbridge_node.gateway.peers.heartbeats import BEAT_S
+from springbridge_node.gateway.peers.heartbeats import HEARTBEAT_INTERVAL_S
 from springbridge_standins.gateway.simulated_fleet import SimulatedFleet, simulated_time
 
 SIZES = [9, 30, 78, 380]
@@ -41,9 +41,11 @@
 
 def restart_in_turn(fleet: SimulatedFleet, settle_s: float) -> None:
     """Start nodes anew one after the other, without the last one, which ends after that."""
-    for number in range(min(fleet.size - 1, round(WATCHED_S / BEAT_S) // BEATS_BETWEEN_RESTARTS)):
+    for number in range(
+        min(fleet.size - 1, round(WATCHED_S / HEARTBEAT_INTERVAL_S) // BEATS_BETWEEN_RESTARTS)
+    ):
         fleet.restart(number)
-        fleet.run(BEATS_BETWEEN_RESTARTS * BEAT_S)
+        fleet.run(BEATS_BETWEEN_RESTARTS * HEARTBEAT_INTERVAL_S)
 
 
 @dataclass(frozen=True)
@@ -95,8 +97,8 @@
         bytes_before, processor_before_s = fleet.network.sent_bytes, fleet.processor_s
         shares = []
         silent = []
-        for _ in range(round(WATCHED_S / BEAT_S)):
-            fleet.run(BEAT_S)
+        for _ in range(round(WATCHED_S / HEARTBEAT_INTERVAL_S)):
+            fleet.run(HEARTBEAT_INTERVAL_S)
             shares.append(fleet.share_left_out())
             silent.append(fleet.share_taken_for_silent())
         node_seconds = WATCHED_S * size
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -23,7 +23,7 @@
     FollowerHooks,
 )
 from springbridge_node.gateway.gateway_settings import GatewaySettings
-from springbridge_node.gateway.peers.heartbeats import BEAT_S
+from springbridge_node.gateway.peers.heartbeats import HEARTBEAT_INTERVAL_S
 
 LISTING = EndpointSnapshot(7, (EndpointEntry("e1", "model", "127.0.0.1:1", "a", 4, False),))
 TURN_S = 0.5
@@ -198,7 +198,7 @@
 
 
 def test_a_working_reader_confirms_the_list_before_others_read_it_themselves():
-    assert_that(CONFIRMED_S, GreaterThan(SNAPSHOT_INTERVAL_S + BEAT_S))
+    assert_that(CONFIRMED_S, GreaterThan(SNAPSHOT_INTERVAL_S + HEARTBEAT_INTERVAL_S))
 
 
 def test_an_unconfirmed_node_reads_before_the_usual_drain_time_of_an_endpoint_is_over():
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -39,7 +39,7 @@
 from springbridge_node.gateway.peers.config_catch_up import ConfigurationCatchUp
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 from springbridge_node.gateway.peers.evacuation_sharing import EvacuationSharing
-from springbridge_node.gateway.peers.heartbeats import BEAT_S, Heartbeats
+from springbridge_node.gateway.peers.heartbeats import HEARTBEAT_INTERVAL_S, Heartbeats
 from springbridge_node.gateway.peers.own_member import PACE, member_of
 from springbridge_node.gateway.peers.peer_client import PeerClient
 from springbridge_node.gateway.peers.peer_discovery import (
@@ -108,7 +108,7 @@
         )
         self.peer_client = PeerClient(self.membership, lambda: list(self.settings.other_seeds))
         self.evacuations = EvacuationSharing(
-            self.membership, self.registry, changed=self.rates.look_for_cold
+            self.membership, self.registry, on_change=self.rates.look_for_cold
         )
         self.configuration = self._configuration_follower()
         self.duties = duty_parts(
@@ -149,7 +149,7 @@
             self._outside.read_configuration,
             self._configuration_installed,
             self.readers,
-            evacuations=self.evacuations.read,
+            evacuations=self.evacuations.apply_store,
         )
 
     def _endpoint_follower(self) -> EndpointFollower:
@@ -224,10 +224,10 @@
             self.configuration.run(),
             every(0.0, self.endpoints.step),
             every_tick(PROBE_INTERVAL_S, EndpointProber(self.registry, self.pool).step),
-            every_tick(BEAT_S, self.heartbeats.beat),
-            every_tick(BEAT_S, self.quarantine_parts.sharing.beat),
-            every_tick(BEAT_S, self.rates.beat),
-            every_tick(BEAT_S, self.evacuations.beat),
+            every_tick(HEARTBEAT_INTERVAL_S, self.heartbeats.beat),
+            every_tick(HEARTBEAT_INTERVAL_S, self.quarantine_parts.sharing.beat),
+            every_tick(HEARTBEAT_INTERVAL_S, self.rates.beat),
+            every_tick(HEARTBEAT_INTERVAL_S, self.evacuations.beat),
             every_tick(QUARANTINE_LOOK_S, self.quarantine_parts.stored.step),
             every(DISCOVERY_INTERVAL_S, self.discovery.step, DISCOVERY_DELAY_S),
             every(0.0, self.catch_up.step),
--- a/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set.py
@@ -1,7 +1,7 @@
-"""Which nodes are coordinators for a service, as this node sees the fleet.
+"""Determines which nodes are coordinators for a service, as this node sees the fleet.
 
-The rule itself stands in springbridge/routing/coordinators.py. This module applies it to the live
-members, keeps the result for a moment, and leaves out coordinators that did not answer.
+springbridge/routing/coordinators.py has the rule. This module applies it to the live members,
+caches the result briefly, and skips coordinators that recently did not answer.
 """
 
 from collections.abc import Callable
@@ -12,14 +12,13 @@
 from springbridge_node import logs
 from springbridge_node.clock import now_s
 
-# Nodes up to which each one sends its load notices to all others, so that every node is a
-# coordinator.
-# With so many, each step of a request costs 16 datagrams.
-MAX_EQUAL_NODES = 17
-# Seconds for which the roles are kept. The interval of the heartbeats, because a look at the
-# members costs 1.4 us for each and every request would take one.
-ROLES_KEPT_S = 0.25
-# Seconds for which a coordinator that did not answer is left out. Several times the 80 ms that a
+# Largest fleet in which every node is a coordinator: each sends its load notices to all others. At
+# this size each step of a request costs 16 datagrams.
+MAX_ALL_COORDINATORS_NODES = 17
+# Seconds for which the roles are cached, equal to the heartbeat interval. Computing them costs
+# 1.4 us for each member, and without the cache every request would do it.
+ROLES_CACHE_S = 0.25
+# Seconds for which a coordinator that did not answer is skipped. Several times the 80 ms that a
 # request loses by asking a dead one.
 AVOIDED_S = 0.5
 
@@ -27,32 +26,33 @@
 class CoordinatorSet:
     """The coordinators of the fleet as this node sees them.
 
-    Up to MAX_EQUAL_NODES nodes are all coordinators; in a larger fleet some are, for each service.
+    In a fleet of up to MAX_ALL_COORDINATORS_NODES nodes each is a coordinator; in a larger one a
+    few nodes are, chosen for each service.
     """
 
     def __init__(self, membership: Membership, clock: Callable[[], float] = now_s) -> None:
-        """Keep the membership and the clock."""
+        """Create a set that reads the live members of a membership."""
         self._membership = membership
         self._clock = clock
         self._refreshed_s = float("-inf")
-        self._all_equal = True
+        self._all_coordinators = True
         self._by_service: dict[str, list[Member]] = {}
         self._avoided_until_s: dict[str, float] = {}
 
-    def includes_me(self, service: str) -> bool:
-        """Return whether this node gets the load notices of all nodes for a service."""
+    def includes_self(self, service: str) -> bool:
+        """Return whether this node is a coordinator and gets all load notices for a service."""
         found = self._coordinators(service)
-        return self._all_equal or any(self._is_me(member) for member in found)
+        return self._all_coordinators or any(self._is_me(member) for member in found)
 
     def notice_receivers(self, service: str) -> list[str]:
-        """Return the peer addresses that get this node's load notices for a service."""
+        """Return the peer addresses that this node sends its load notices for a service to."""
         found = self._coordinators(service)
-        if self._all_equal:
+        if self._all_coordinators:
             found = self._membership.reachable()
         return [member.peer_address for member in found if not self._is_me(member)]
 
-    def first(self, service: str) -> str | None:
-        """Return the peer address of the coordinator to ask, or None if there is none to ask."""
+    def preferred(self, service: str) -> str | None:
+        """Return the address of the coordinator to ask, or None if no other node is available."""
         found = self._coordinators(service)
         now_s = self._clock()
         for member in in_order_for(self._membership.me.failure_domain, found):
@@ -62,26 +62,26 @@
         return None
 
     def avoid(self, address: str) -> None:
-        """Leave out a coordinator that did not answer for AVOIDED_S."""
+        """Skip a coordinator for AVOIDED_S because it did not answer."""
         self._avoided_until_s[address] = self._clock() + AVOIDED_S
         logs.event("scheduler.silent", address=address, avoided_s=AVOIDED_S)
 
     def _coordinators(self, service: str) -> list[Member]:
-        """Return the coordinators for a service; none in particular where all nodes are equal."""
+        """Return the coordinators for a service; empty where every node is a coordinator."""
         self._refresh()
-        if self._all_equal:
+        if self._all_coordinators:
             return []
         if service not in self._by_service:
             self._by_service[service] = coordinators(self._membership.live(), service)
         return self._by_service[service]
 
     def _refresh(self) -> None:
-        """Drop the roles if they are old, and forget whom to leave out where the time is over."""
+        """Drop cached roles older than ROLES_CACHE_S, and addresses no longer to be skipped."""
         now_s = self._clock()
-        if now_s - self._refreshed_s < ROLES_KEPT_S:
+        if now_s - self._refreshed_s < ROLES_CACHE_S:
             return
         self._refreshed_s = now_s
-        self._all_equal = self._membership.live_count() <= MAX_EQUAL_NODES
+        self._all_coordinators = self._membership.live_count() <= MAX_ALL_COORDINATORS_NODES
         self._by_service = {}
         self._avoided_until_s = {
             address: until_s
--- a/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set_test.py
@@ -1,4 +1,4 @@
-"""Tests of coordinator_set.py: whom a node asks, and who gets its load notices."""
+"""Tests of coordinator_set.py: which coordinator is asked, and which nodes get load notices."""
 
 import random
 
@@ -11,19 +11,19 @@
 MODEL = "model"
 
 
-def test_a_silent_scheduler_is_asked_again_after_a_moment(fleet, clock):
+def test_a_silent_coordinator_is_asked_again_after_a_moment(fleet, clock):
     found = CoordinatorSet(fleet, clock)
-    first = found.first(MODEL)
+    first = found.preferred(MODEL)
     found.avoid(first)
-    assert_that(found.first(MODEL), Not(Equals(first)))
+    assert_that(found.preferred(MODEL), Not(Equals(first)))
     clock.now_s += AVOIDED_S
-    assert_that(found.first(MODEL), Equals(first))
+    assert_that(found.preferred(MODEL), Equals(first))
 
 
-def test_in_a_small_fleet_every_node_schedules(clock):
+def test_in_a_small_fleet_every_node_is_a_coordinator(clock):
     me = Member("n0", "n0", "10.0.0.0:1", "", "a")
     membership = Membership(me, clock, random.Random(1))
     membership.merge([Member("n1", "n1", "10.0.0.1:1", "", "b")])
     found = CoordinatorSet(membership, clock)
-    assert_that((found.includes_me(MODEL), found.first(MODEL)), Equals((True, None)))
+    assert_that((found.includes_self(MODEL), found.preferred(MODEL)), Equals((True, None)))
     assert_that(found.notice_receivers(MODEL), Equals(["10.0.0.1:1"]))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/crash_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/crash_sharing.py
@@ -1,11 +1,11 @@
-"""Tells peers which requests were running when endpoints ended, and which came to a good end.
-
-An endpoint that ends has dozens of requests, most of which are never heard of again. Their first
-crash is told to the trial coordinators of the service alone, who add up what several nodes saw. A
-request with two crashes is told to all: at once to PUSHED_PEERS, and by each node that hears of it
-to some peers at each of its next beats, so that lost datagrams do no harm. A node that starts is
-told by those that come first in a ranking for it. A peer that counts crashes after a good end that
-it has not heard of is told of that.
+"""Shares crash records: which requests ran when endpoints ended, and which have completed since.
+
+An endpoint that ends has dozens of requests, most of which are not seen again. Their first crash is
+reported only to the trial coordinators of the service, which combine the reports of several nodes.
+The record of a request with two crashes goes to all nodes: at once to MAX_PUSHED_PEERS, and from
+each node that receives it to some peers at each of its next heartbeats, which makes up for lost
+datagrams. A node that starts gets these records from the nodes that rank first for it. A peer that
+still counts crashes from before a successful completion it does not know of is sent the record.
 """
 
 import asyncio
@@ -17,28 +17,29 @@
 
 from springbridge_node.gateway.peers import crash_rows
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
-from springbridge_node.gateway.peers.gossip import PUSHED_PEERS
-from springbridge_node.gateway.peers.greeting import Greeting
+from springbridge_node.gateway.peers.gossip import MAX_PUSHED_PEERS
+from springbridge_node.gateway.peers.new_peers import NewPeers
 from springbridge_node.gateway.peers.trial_coordination import TrialCoordinators
 
-# Seconds for which news are gathered into one datagram: the requests of an endpoint break within
-# the same moment.
-GATHER_S = 0.005
-# Records in one datagram. At about 60 bytes for each crash a datagram stays under some kB.
+# Seconds for which records are batched into one datagram: the requests of an endpoint that ends
+# fail at the same moment.
+BATCH_DELAY_S = 0.005
+# Maximum number of records in one datagram. At about 60 bytes for each crash a datagram stays
+# within a few kB.
 RECORDS_PER_DATAGRAM = 12
-# Seconds for which a node passes on a record that was news to it. Six beats, in which a fleet of
-# hundreds is reached though some of the datagrams are lost.
-NEWS_S = 1.5
+# Seconds for which a node resends a record that was new to it. Six heartbeat intervals, within
+# which the record reaches a fleet of hundreds even if some datagrams are lost.
+RESEND_S = 1.5
 Later = Callable[[float, Callable[[], None]], object]
 
 
 def _call_later(seconds: float, work: Callable[[], None]) -> None:
-    """Call a function after some seconds of the running event loop."""
+    """Schedule a function on the running event loop."""
     asyncio.get_running_loop().call_later(seconds, work)
 
 
 class CrashSharing:
-    """Spreads the records of crashes."""
+    """Sends crash records to peers and merges those of peers."""
 
     def __init__(
         self,
@@ -47,10 +48,10 @@
         coordinators: TrialCoordinators,
         later: Later = _call_later,
     ) -> None:
-        """Keep the parts.
+        """Start without peers; nothing is sent until connect() is called.
 
         Args:
-          later: Calls a function after some seconds.
+          later: Schedules a function after a delay in seconds.
         """
         self._later = later
         self._records = records
@@ -59,111 +60,115 @@
         self._datagrams: PeerDatagrams | None = None
         self._reports: dict[str, set[str]] = {}
         self._pushes: set[str] = set()
-        self._news_until_s: dict[str, float] = {}
-        self._greeting = Greeting(membership)
+        self._resend_until_s: dict[str, float] = {}
+        self._new_peers = NewPeers(membership)
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to tell peers and to take in what they tell."""
+        """Start sending records to peers and receiving theirs."""
         self._datagrams = datagrams
-        datagrams.handle(Kind.CRASHES, self._take)
+        datagrams.handle(Kind.CRASHES, self._receive)
 
-    def spread(self, fingerprint: str, service: str, was_known: bool = False) -> None:
-        """Tell peers of a record that this node has changed.
+    def share(self, fingerprint: str, service: str, was_known: bool = False) -> None:
+        """Send a record that this node has changed to the peers that need it.
 
         Args:
-          was_known: Whether all peers knew of it before, so that they have to hear of the change.
+          was_known: Whether all peers had the record before, so that all need the change.
         """
         is_first = not self._reports and not self._pushes
-        if was_known or _concerns_all(self._records.find(fingerprint)):
+        if was_known or _is_suspect(self._records.find(fingerprint)):
             self._pushes.add(fingerprint)
-            self._is_news(fingerprint)
+            self._mark_recent(fingerprint)
         else:
             self._reports.setdefault(service, set()).add(fingerprint)
         if is_first and self._datagrams is not None:
-            self._later(GATHER_S, self._flush)
+            self._later(BATCH_DELAY_S, self._flush)
 
     async def beat(self) -> None:
-        """Pass on what was news lately, and tell peers that are new."""
+        """Resend records that were new recently, and send suspects to new peers."""
         now_s = self._records.now_s()
-        self._news_until_s = {
-            name: until_s for name, until_s in self._news_until_s.items() if until_s > now_s
+        self._resend_until_s = {
+            name: until_s for name, until_s in self._resend_until_s.items() if until_s > now_s
         }
-        if self._news_until_s:
-            self._send(self._news_until_s, self._membership.gossip_targets())
-        self._greet()
-
-    def merge(self, told: ToldRecord) -> None:
-        """Take in what a peer says of a request in another message."""
-        if self._records.merge(told) and _concerns_all(self._records.find(told.fingerprint)):
-            self._is_news(told.fingerprint)
-
-    def _greet(self) -> None:
-        """Tell peers that were not there at the last beat of the records that concern all."""
-        new = self._greeting.new_peers()
+        if self._resend_until_s:
+            self._send(self._resend_until_s, self._membership.gossip_targets())
+        self._send_to_new_peers()
+
+    def merge(self, record: ToldRecord) -> None:
+        """Merge a record that a peer has sent within another message."""
+        if self._records.merge(record) and _is_suspect(self._records.find(record.fingerprint)):
+            self._mark_recent(record.fingerprint)
+
+    def _send_to_new_peers(self) -> None:
+        """Send the records of all suspect requests to peers that are new since the last beat."""
+        new = self._new_peers.detect()
         if not new:
             return
-        names = [each.fingerprint for each in self._records.all() if _concerns_all(each)]
+        names = [each.fingerprint for each in self._records.all() if _is_suspect(each)]
         if names:
             self._send(names, new)
 
     def _flush(self) -> None:
-        """Send what was gathered."""
+        """Send the batched records."""
         reports, self._reports = self._reports, {}
         pushes, self._pushes = self._pushes, set()
         for service, names in reports.items():
             self._send(names, self._coordinators.addresses(service))
         if pushes:
-            self._send(pushes, self._datagrams.sample_peers(PUSHED_PEERS))
+            self._send(pushes, self._datagrams.sample_peers(MAX_PUSHED_PEERS))
 
     def _send(self, names: Iterable[str], receivers: list[str]) -> None:
         """Send records to peers."""
-        told = [self._records.told(name) for name in names]
-        rows = [crash_rows.record_row(record) for record in told if record is not None]
+        records = [self._records.told(name) for name in names]
+        rows = [crash_rows.record_row(record) for record in records if record is not None]
         for start in range(0, len(rows), RECORDS_PER_DATAGRAM):
             self._datagrams.send(
                 Kind.CRASHES, rows[start : start + RECORDS_PER_DATAGRAM], receivers
             )
 
-    def _take(self, rows: list, sender: str) -> None:
-        """Take in what a peer tells."""
+    def _receive(self, rows: list, sender: str) -> None:
+        """Merge a peer's records, and send back those in which it has missed an acquittal."""
         outdated = [
-            told.fingerprint for told in map(crash_rows.read_record, rows) if self._take_one(told)
+            record.fingerprint
+            for record in map(crash_rows.read_record, rows)
+            if self._merge_received(record)
         ]
         if outdated:
             self._send(outdated, [sender])
 
-    def _take_one(self, told: ToldRecord) -> bool:
-        """Take in one record, and return whether the peer has missed a good end."""
-        before = self._records.find(told.fingerprint)
-        concerned_all = _concerns_all(before)
-        is_news = self._records.merge(told)
-        after = self._records.find(told.fingerprint)
+    def _merge_received(self, record: ToldRecord) -> bool:
+        """Merge one record, and return whether the peer has missed an acquittal."""
+        before = self._records.find(record.fingerprint)
+        was_suspect = _is_suspect(before)
+        is_new = self._records.merge(record)
+        after = self._records.find(record.fingerprint)
         if after is None:
             return False
-        if is_news and _concerns_all(after):
-            self._is_news(told.fingerprint)
-            if not concerned_all and len(told.crashes) < SUSPECT_CRASHES:
-                # Two nodes saw one crash each, and only here they come together.
-                self._send([told.fingerprint], self._datagrams.sample_peers(PUSHED_PEERS))
-        elif is_news and concerned_all:
-            self._is_news(told.fingerprint)
-        return _missed_good_end(told, after, self._records.now_s())
-
-    def _is_news(self, fingerprint: str) -> None:
-        """Pass a record on for NEWS_S."""
-        self._news_until_s[fingerprint] = self._records.now_s() + NEWS_S
-
-
-def _concerns_all(record: CrashRecord | None) -> bool:
-    """Return whether all nodes have to know of a request."""
+        if is_new and _is_suspect(after):
+            self._mark_recent(record.fingerprint)
+            if not was_suspect and len(record.crashes) < SUSPECT_CRASHES:
+                # Two nodes saw one crash each, and this node is the first to know of both.
+                self._send([record.fingerprint], self._datagrams.sample_peers(MAX_PUSHED_PEERS))
+        elif is_new and was_suspect:
+            self._mark_recent(record.fingerprint)
+        return _missed_acquittal(record, after, self._records.now_s())
+
+    def _mark_recent(self, fingerprint: str) -> None:
+        """Resend a record with the next heartbeats, for RESEND_S."""
+        self._resend_until_s[fingerprint] = self._records.now_s() + RESEND_S
+
+
+def _is_suspect(record: CrashRecord | None) -> bool:
+    """Return whether a request is a suspect, whose record goes to all nodes."""
     return record is not None and len(record.counted) >= SUSPECT_CRASHES
 
 
-def _missed_good_end(told: ToldRecord, known: CrashRecord, now_s: float) -> bool:
-    """Return whether a peer counts crashes that a good end known here has acquitted."""
-    told_s = float("-inf") if told.acquitted_ago_s is None else now_s - told.acquitted_ago_s
-    named: Collection[int] = {crash.name for crash in told.crashes}
+def _missed_acquittal(record: ToldRecord, known: CrashRecord, now_s: float) -> bool:
+    """Return whether a peer counts crashes that an acquittal known here has cleared."""
+    acquitted_s = (
+        float("-inf") if record.acquitted_ago_s is None else now_s - record.acquitted_ago_s
+    )
+    named: Collection[int] = {crash.name for crash in record.crashes}
     return any(
-        name in named and told_s < crash.at_s <= known.acquitted_s
+        name in named and acquitted_s < crash.at_s <= known.acquitted_s
         for name, crash in known.crashes.items()
     )
--- a/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing_test.py
@@ -1,4 +1,4 @@
-"""Tests of telling peers which failure domains are evacuated."""
+"""Tests of evacuation_sharing.py: how evacuations of failure domains spread among nodes."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
-from springbridge_node.gateway.peers.evacuation_sharing import TELL_END_S, EvacuationSharing
+from springbridge_node.gateway.peers.evacuation_sharing import END_RESEND_S, EvacuationSharing
 
 
 @pytest.fixture
@@ -34,17 +34,17 @@
 
 
 def asked(*domains):
-    """Return news that just these domains are evacuated."""
+    """Return store data by which exactly these domains are evacuated."""
     return EvacuationNews(True, tuple((domain, True) for domain in domains))
 
 
 def known(fleet):
-    """Return what each node evacuates."""
+    """Return the different sets of domains that the nodes evacuate."""
     return {tuple(sorted(node.domains)) for node in fleet.nodes}
 
 
 async def beat(fleet, times):
-    """Let all nodes beat."""
+    """Run some heartbeats of all nodes."""
     for _ in range(times):
         fleet.clock.now_s += 0.25
         for node in fleet.nodes:
@@ -52,16 +52,16 @@
 
 
 def test_all_know_at_once_what_one_has_read(fleet):
-    fleet.nodes[0].read(10, asked("a"))
+    fleet.nodes[0].apply_store(10, asked("a"))
     assert_that(known(fleet), Equals({("a",)}))
-    fleet.nodes[3].read(11, asked())
+    fleet.nodes[3].apply_store(11, asked())
     assert_that(known(fleet), Equals({()}))
 
 
 def test_a_node_that_was_cut_off_learns_it_at_a_beat(fleet):
     cut = fleet.members[5].peer_address
     fleet.wire.silent.add(cut)
-    fleet.nodes[0].read(10, asked("a"))
+    fleet.nodes[0].apply_store(10, asked("a"))
     assert_that(known(fleet), Equals({("a",), ()}))
     fleet.wire.silent.clear()
     asyncio.run(beat(fleet, 8))
@@ -69,10 +69,10 @@
 
 
 def test_a_node_that_missed_the_end_is_told_in_answer_to_what_it_tells(fleet):
-    fleet.nodes[0].read(10, asked("a"))
+    fleet.nodes[0].apply_store(10, asked("a"))
     fleet.wire.silent.add(fleet.members[5].peer_address)
-    fleet.nodes[0].read(11, asked())
-    fleet.clock.now_s += TELL_END_S + 1.0
+    fleet.nodes[0].apply_store(11, asked())
+    fleet.clock.now_s += END_RESEND_S + 1.0
     fleet.wire.silent.clear()
     for member in fleet.members:
         for node in fleet.nodes:
@@ -85,6 +85,6 @@
     sent = []
     for node in fleet.nodes:
         node._datagrams.send = lambda *args: sent.append(args)
-    fleet.nodes[0].read(10, asked())
+    fleet.nodes[0].apply_store(10, asked())
     asyncio.run(beat(fleet, 4))
     assert_that(sent, HasLength(0))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/fleet_start_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/fleet_start_test.py
@@ -1,9 +1,9 @@
-"""Tests of how soon a large fleet that starts together finds itself.
+"""Tests of how soon the nodes of a large fleet that start together know each other.
 
-The load: all nodes of a large deployment start within the same moment, as after a loss of power,
-and each knows three seeds only. Callers are there before the nodes know each other. Until then
-nodes disagree on who reads the store, who chooses endpoints and how many share the retry budget.
-Seen before lookups: 16 s after the start 8% of the pairs of 195 nodes did not count each other.
+All nodes start at the same moment, as after a power loss, and each knows three seeds only. Callers
+arrive before the nodes know each other. Until then nodes disagree on which of them read the store
+and select endpoints, and on how many share the retry budget. Without member lookup, 8% of the pairs
+of 195 nodes did not count each other 16 s after the start.
 """
 
 import pytest
@@ -11,14 +11,14 @@
 from testtools.assertions import assert_that
 from testtools.matchers import LessThan
 
-# Seconds after which nodes may disagree on the fleet no more. Chosen as the time in which a fleet
-# that was killed has to serve again.
+# Seconds after which the nodes' views must agree: the time in which a fleet that was killed has to
+# serve again.
 FOUND_S = 3.0
-# Share of the pairs of running nodes of which one does not count the other then. Chosen as twenty
-# times what a fleet of that size shows when it is calm.
+# Largest share of pairs of running nodes of which one does not know the other then: twenty times
+# that of an undisturbed fleet of that size.
 LEFT_OUT = 0.02
-# Bytes a second that a node may send meanwhile. Chosen as a tenth of a link of 10 Mbit/s, which the
-# smallest instances have.
+# Bytes a second that a node may send meanwhile: a tenth of the 10 Mbit/s link of the smallest
+# instances.
 BYTES_PER_S = 125_000
 
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(("size", "lost"), [(78, 0.1), (195, 0.0)])
-def test_a_fleet_that_starts_together_has_found_itself_within_seconds(clock, size, lost):
+def test_nodes_of_a_fleet_that_start_together_know_each_other_within_seconds(clock, size, lost):
     fleet = SimulatedFleet(clock, size, seed=5, loss=lost)
     fleet.run(FOUND_S)
     assert_that(fleet.share_left_out(), LessThan(LEFT_OUT))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/gossip_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/gossip_test.py
@@ -1,4 +1,4 @@
-"""Tests of gossip.py: which digest a peer gets, and what a digest tells of third nodes."""
+"""Tests of gossip.py: which digest each peer gets, and how reports of third nodes are merged."""
 
 import random
 
@@ -20,18 +20,18 @@
 
 
 class Sent:
-    """Datagrams that are kept in place of being sent."""
+    """Datagrams that are recorded instead of sent."""
 
     def __init__(self):
         self.kinds = {}
         self.handlers = {}
 
     def handle(self, kind, handler):
-        """Keep a handler, for tests to call."""
+        """Record a handler, for tests to call."""
         self.handlers[kind] = handler
 
     def send(self, kind, rows, peer_addresses):
-        """Keep what each peer gets."""
+        """Record the last datagram that each peer gets."""
         for address in peer_addresses:
             self.kinds[address] = (kind, rows)
 
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def sent():
-    """Return the datagrams of a node."""
+    """Return the recorded datagrams of a node."""
     return Sent()
 
 
@@ -54,11 +54,11 @@
 
 @pytest.fixture
 def gossip(membership, sent):
-    """Return the gossip of that node, told of a peer of this build and one of an earlier build."""
+    """Return the gossip of that node, which knows a peer of this and one of an earlier build."""
     found = Gossip(membership, sent, lambda: None)
     rows = [codec.member_row(member("new")), codec.member_row(member("old", heartbeat=7))]
     sent.handlers[Kind.DIGEST](rows, "")
-    # Without the digest by which a new sender is greeted.
+    # Drop the digest that a new sender gets at once.
     sent.kinds.clear()
     return found
 
@@ -81,7 +81,7 @@
     assert_that(sorted(each.incarnation for each in read), Equals(["me", "new", "old"]))
 
 
-def test_what_must_not_wait_is_the_senders_row_alone_in_a_form_that_all_builds_read(gossip, sent):
+def test_an_urgent_update_is_the_senders_row_alone_in_a_format_that_all_builds_read(gossip, sent):
     gossip.push()
     found = {(kind, len(rows)) for kind, rows in sent.kinds.values()}
     assert_that(found, Equals({(Kind.DIGEST, 1)}))
@@ -99,8 +99,8 @@
 
 
 def test_a_plain_digest_tells_no_age_of_a_node_that_sends_ages(gossip, membership, sent, clock):
-    # The teller is of an earlier build: what it says of its like counts as new, since nothing
-    # better is known.
+    # The sender has an earlier build: what it reports of nodes of earlier builds counts as new,
+    # since their ages are unknown.
     clock.now_s += 1.0
     rows = [
         codec.member_row(member("teller", heartbeat=3)),
--- a/packages/springbridge-node/springbridge_node/gateway/peers/granter_set.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/granter_set.py
@@ -1,7 +1,7 @@
-"""Which node grants the permits of an endpoint, as this node sees the fleet.
+"""Determines which node grants the permits of an endpoint, as this node sees the fleet.
 
-Applies springbridge/rates/granters.py to the live members whose build answers such questions, and
-keeps the result until the members change.
+Applies springbridge/rates/granters.py to the live members whose build answers permit requests, and
+caches the result until the live members change.
 """
 
 from collections.abc import Callable, Collection
@@ -12,8 +12,8 @@
 
 from springbridge_node.gateway.peers.peer_builds import grants_permits
 
-# Seconds for which a granter that did not answer is not asked. A node that ended is no longer the
-# granter about a second later.
+# Seconds for which a granter that did not reply is skipped. A node that ended is no longer the
+# granter about 1 s later.
 SILENT_S = 0.5
 
 
@@ -21,7 +21,7 @@
     """The granters as this node sees them."""
 
     def __init__(self, membership: Membership, clock: Callable[[], float]) -> None:
-        """Keep the membership and the clock."""
+        """Create a set that reads the live members of a membership."""
         self._membership = membership
         self._clock = clock
         self._version = -1
@@ -30,8 +30,8 @@
         self._mine_since_s: dict[str, float] = {}
         self._silent_until_s: dict[str, float] = {}
 
-    def look(self) -> None:
-        """Notice a change of the members; due at each heartbeat."""
+    def refresh(self) -> None:
+        """Clear the cache if the live members have changed; call it at each heartbeat."""
         version = self._membership.live_version()
         if version != self._version:
             self._version = version
@@ -39,19 +39,19 @@
             self._by_endpoint = {}
 
     def of(self, entry: EndpointEntry) -> Member:
-        """Return the granter of an endpoint, this node itself where there is no other."""
+        """Return the granter of an endpoint, this node itself if no live member qualifies."""
         return self._ranked(entry)[0]
 
-    def to_ask(self, entry: EndpointEntry) -> Member | None:
-        """Return whom to ask for a permit, None if all that may be asked are silent."""
+    def responsive(self, entry: EndpointEntry) -> Member | None:
+        """Return the first granter or substitute that is not marked silent, None if all are."""
         now_s = self._clock()
         for member in self._ranked(entry):
             if self._silent_until_s.get(member.incarnation, now_s) <= now_s:
                 return member
         return None
 
-    def silent(self, member: Member) -> None:
-        """Ask a granter that did not answer no more for SILENT_S."""
+    def mark_silent(self, member: Member) -> None:
+        """Skip a granter for SILENT_S because it did not reply."""
         now_s = self._clock()
         self._silent_until_s = {
             each: until_s for each, until_s in self._silent_until_s.items() if until_s > now_s
@@ -61,15 +61,16 @@
     def tenure_s(self, entry: EndpointEntry) -> float:
         """Return for how many seconds this node has been an endpoint's granter, 0 if it is not.
 
-        For an endpoint that was not looked at before it counts from the last change of the members.
+        For an endpoint that was not queried before, the time since the last change of the live
+        members counts.
         """
         if not self.is_me(self.of(entry)):
             self._mine_since_s.pop(entry.endpoint_id, None)
             return 0.0
         return self._clock() - self._mine_since_s.setdefault(entry.endpoint_id, self._changed_s)
 
-    def forget_all_but(self, endpoint_ids: Collection[str]) -> None:
-        """Forget since when this node has been the granter of other endpoints."""
+    def keep_only(self, endpoint_ids: Collection[str]) -> None:
+        """Drop the start times of this node's tenure for all other endpoints."""
         for endpoint_id in self._mine_since_s.keys() - set(endpoint_ids):
             del self._mine_since_s[endpoint_id]
 
@@ -78,8 +79,8 @@
         return member.incarnation == self._membership.me.incarnation
 
     def _ranked(self, entry: EndpointEntry) -> list[Member]:
-        """Return the granter of an endpoint and its substitutes; at least this node itself."""
-        self.look()
+        """Return an endpoint's granter and its substitutes; this node alone if none qualifies."""
+        self.refresh()
         if entry.endpoint_id not in self._by_endpoint:
             members = [each for each in self._membership.live() if grants_permits(each.heartbeat)]
             found = granters(members, entry.endpoint_id, entry.failure_domain)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
@@ -1,7 +1,8 @@
-"""Sends this node's heartbeat: its phase, and which configuration and endpoint list it has.
+"""Sends this node's heartbeat with its phase, configuration version and endpoint list state.
 
-A node that was never ready is silent, so that no caller is sent there. Before each beat the node
-checks whether it stood still; if it did, it must not confirm to others what it knew before.
+A node that was never ready sends nothing, so that no caller is sent there. Before each heartbeat
+the node checks whether its process was stalled; if it was, it must not confirm to peers a
+configuration that it last checked before the stall.
 """
 
 from collections.abc import Callable
@@ -17,12 +18,12 @@
 from springbridge_node.gateway.peers.gossip import Gossip
 from springbridge_node.gateway.peers.member_log import MemberLog
 
-# Seconds between two heartbeats. Four beats fit into the 1.2 s after which a silent member is
+# Seconds between two heartbeats. Four intervals fit into the 1.2 s after which a silent member is
 # suspected.
-BEAT_S = 0.25
-# Seconds by which a beat may be late before the process counts as having stood still. More than two
-# beats. BEAT_S + STALL_S is below the 1.1 s for which peers' confirmations count, so that a stall
-# is noticed before the next confirmation would be wrong.
+HEARTBEAT_INTERVAL_S = 0.25
+# Seconds by which a heartbeat may be late before the process counts as stalled. More than two
+# intervals. HEARTBEAT_INTERVAL_S + STALL_S is below the 1.1 s for which peers' confirmations count,
+# so that a stall is detected before the node sends a confirmation that is no longer valid.
 STALL_S = 0.6
 
 
@@ -30,7 +31,7 @@
     """Sends heartbeats and the digests that carry them.
 
     Attributes:
-      suspensions: How often the machine was found to have been suspended.
+      suspensions: Number of times that the machine was found to have been suspended.
     """
 
     def __init__(
@@ -41,10 +42,11 @@
         catch_up: ConfigurationCatchUp,
         is_ready: Callable[[], bool],
     ) -> None:
-        """Keep the parts.
+        """Create heartbeats that send nothing until connect() is called.
 
         Args:
-          catch_up: Woken when a digest brought news and while this node has no configuration.
+          catch_up: Woken when a digest shows a newer configuration, and at each heartbeat while
+            this node is not ready and has no configuration.
           is_ready: Returns whether callers may be sent here.
         """
         self._membership = membership
@@ -59,64 +61,65 @@
         self.suspensions = 0
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to take in peers' digests; heartbeats need this first."""
+        """Start receiving peers' digests; must be called before the first heartbeat."""
         self._gossip = Gossip(
-            self._membership, datagrams, self._catch_up.wake_if_behind, self._may_tell
+            self._membership, datagrams, self._catch_up.wake_if_behind, self._may_announce
         )
 
     def push(self) -> None:
-        """Send as many peers as gossip reaches at once what this node has, if it is ready."""
-        self._count_beat()
+        """Send this node's updated state to up to MAX_PUSHED_PEERS peers, if it is ready."""
+        self._update_own_row()
         if self._is_ready():
             self.push_now()
 
     def push_now(self) -> None:
-        """Send the digest as it is to as many peers as gossip reaches at once, ready or not."""
+        """Send this node's current row to up to MAX_PUSHED_PEERS peers, ready or not."""
         if self._gossip is not None:
             self._gossip.push()
 
     async def beat(self) -> None:
-        """Send a digest to a few peers, unless this node is still starting."""
-        self._notice_stall()
+        """Send a digest to a few gossip targets, unless this node is still starting."""
+        self._check_stall()
         self._member_log.check()
         for member, age_s in self._membership.confirmations():
             self._configuration.confirm(member.config_version, age_s)
-        if self._may_tell():
-            self._count_beat()
+        if self._may_announce():
+            self._update_own_row()
             self._gossip.send(self._membership.gossip_targets())
         elif self._configuration.index is None:
             self._catch_up.wake()
 
     def forget_gone(self) -> None:
-        """Drop what is kept of members that are gone."""
+        """Drop the state kept for members that ended long ago."""
         self._membership.forget_old()
         self._gossip.forget_gone()
 
-    def _may_tell(self) -> bool:
-        """Return whether peers may hear of this node: it is ready, or it leaves."""
+    def _may_announce(self) -> bool:
+        """Return whether this node may send its own row: it is ready, or it is leaving."""
         return self._is_ready() or not self._membership.is_live()
 
-    def _notice_stall(self) -> None:
-        """After a time in which this process did not run, read the configuration anew.
+    def _check_stall(self) -> None:
+        """Refresh the configuration if this process has been stalled.
 
-        It comes first, so that no digest confirms what was known before that time.
+        This runs before the digest is sent, so that no digest confirms a configuration that was
+        last checked before the stall.
         """
         self._log_suspension()
         now_s = clock.now_s()
         last_s, self._last_beat_s = self._last_beat_s, now_s
-        if now_s - last_s > STALL_S + BEAT_S:
+        if now_s - last_s > STALL_S + HEARTBEAT_INTERVAL_S:
             logs.event("node.stalled", seconds=round(now_s - last_s, 3))
             self._configuration.refresh()
 
     def _log_suspension(self) -> None:
-        """Log that the machine was suspended; all ages count that time."""
+        """Log that the machine was suspended; all ages include the time of the suspension."""
         suspended_s = self._suspension.suspended_s()
         if suspended_s:
             self.suspensions += 1
             logs.event("node.suspended", seconds=round(suspended_s, 3))
 
-    def _count_beat(self) -> None:
-        """Count up this node's heartbeat and state what it has."""
+    def _update_own_row(self) -> None:
+        """Increment this node's heartbeat and update its own row."""
         self._membership.beat(
             self._configuration.version,
             min(OLDEST_AGE_S, self._configuration.age_s()),
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats_test.py
@@ -1,4 +1,4 @@
-"""Tests of heartbeats.py: when a node sends, and what it does after a stall."""
+"""Tests of heartbeats.py: when a node sends heartbeats, and what it does after a stall."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from testtools.matchers import Equals, LessThan
 
 from springbridge_node import clock as node_clock
-from springbridge_node.gateway.peers.heartbeats import BEAT_S, STALL_S, Heartbeats
+from springbridge_node.gateway.peers.heartbeats import HEARTBEAT_INTERVAL_S, STALL_S, Heartbeats
 
 
 class RecordingParts:
@@ -39,10 +39,10 @@
         self.sent = []
 
     def handle(self, kind, handler):
-        """Take a handler, as datagrams do."""
+        """Accept a handler, as PeerDatagrams does."""
 
     def send(self, kind, rows, peer_addresses):
-        """Record rows, as datagrams would send them."""
+        """Record rows instead of sending them."""
         self.sent.append(rows)
 
 
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def heartbeats(parts, clock, monkeypatch):
-    """Return the heartbeats of that node, on a clock that tests move."""
+    """Return the heartbeats of that node, on a clock that tests advance."""
     monkeypatch.setattr(node_clock, "_read", clock)
     found = Heartbeats(
         parts.membership, parts.configuration, parts.endpoints, parts.catch_up, lambda: parts.ready
@@ -86,10 +86,10 @@
 
 @pytest.mark.parametrize(("late_s", "calls"), [(0.1, []), (STALL_S + 0.1, ["refresh"])])
 def test_after_a_stall_the_configuration_is_read_anew(heartbeats, parts, clock, late_s, calls):
-    clock.now_s += BEAT_S + late_s
+    clock.now_s += HEARTBEAT_INTERVAL_S + late_s
     asyncio.run(heartbeats.beat())
     assert_that(parts.calls, Equals(calls))
 
 
 def test_a_stall_is_noticed_before_confirmations_from_before_it_run_out():
-    assert_that(BEAT_S + STALL_S, LessThan(CONFIRMED_S))
+    assert_that(HEARTBEAT_INTERVAL_S + STALL_S, LessThan(CONFIRMED_S))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
@@ -1,8 +1,8 @@
-"""Sends peers a notice of each step of this node's requests at endpoints, and takes in theirs.
+"""Publishes load notices about this node's requests at endpoints, and applies those of peers.
 
-Notices are gathered for a few milliseconds, so that a burst of requests makes few datagrams. In a
-fleet too large to notify everyone, only the coordinators get them: a node that knew half of an
-endpoint's load would choose worse than one that knows its own requests and no more.
+Notices are batched for a few milliseconds, so that a burst of requests makes few datagrams. In a
+fleet too large to notify every node, only coordinators get them: a node that knew half of an
+endpoint's load would select worse than one that knows only its own requests.
 """
 
 import asyncio
@@ -23,16 +23,16 @@
 from springbridge_node.gateway.peers import codec
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 
-# Seconds for which notices are gathered into one datagram. A longer wait saves datagrams but makes
-# the load that peers know staler.
-GATHER_S = 0.01
-# Notices in one datagram. At about 100 bytes each a datagram stays under 1 kB, and no more than
-# these are lost with it.
+# Seconds for which notices are batched into one datagram. A longer delay saves datagrams but
+# increases the staleness of the load that peers know.
+BATCH_DELAY_S = 0.01
+# Maximum number of notices in one datagram. At about 100 bytes each a datagram stays under 1 kB,
+# and a lost datagram loses no more than these.
 NOTICES_PER_DATAGRAM = 8
 
 
-class SharedLoad:
-    """One attempt at an endpoint, from its start to its end."""
+class SharedAttempt:
+    """An attempt at an endpoint whose phases are published to peers."""
 
     def __init__(
         self,
@@ -41,15 +41,15 @@
         endpoint_id: str,
         began: Callable[[], None],
     ) -> None:
-        """Keep the names, and what to call once the endpoint has begun to answer."""
+        """Create an attempt; `began` is called once, when the endpoint has begun to answer."""
         self._began = began
         self._sharing = sharing
         self._attempt_id = attempt_id
         self._endpoint_id = endpoint_id
         self._was_read = False
 
-    def read(self) -> None:
-        """Note that the endpoint has read the prompt: the first piece of the answer came."""
+    def prompt_read(self) -> None:
+        """Publish that the endpoint has processed the prompt: the first output has arrived."""
         if not self._was_read:
             self._was_read = True
             notice = LoadNotice(LoadPhase.READ, self._attempt_id, self._endpoint_id)
@@ -58,45 +58,45 @@
 
 
 class LoadSharing:
-    """Keeps this node's registry and its peers' informed of the load of endpoints."""
+    """Records the load of endpoints in this node's registry and publishes it to peers."""
 
     def __init__(
         self,
         registry: EndpointRegistry,
         incarnation: str,
         receivers: Callable[[str], list[str]],
-        received: Callable[[LoadNotice], None],
+        on_notice: Callable[[LoadNotice], None],
     ) -> None:
-        """Keep the parts.
+        """Start without peers; notices go to the registry only until connect() is called.
 
         Args:
-          incarnation: Of this node; its attempts are named after it.
+          incarnation: This node's incarnation, part of the ids of its attempts.
           receivers: Returns the peer addresses that get the notices for a service.
-          received: Called with each notice of a peer.
+          received: Called with each notice from a peer, before the registry takes it.
         """
         self._registry = registry
         self._incarnation = incarnation
         self._receivers = receivers
-        self._received = received
+        self._on_notice = on_notice
         self._count = 0
         self._unsent: dict[str, list[LoadNotice]] = {}
         self._datagrams: PeerDatagrams | None = None
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to send notices and to take in those of peers."""
+        """Start sending notices and receiving those of peers."""
         self._datagrams = datagrams
-        datagrams.handle(Kind.LOAD, self._take)
+        datagrams.handle(Kind.LOAD, self._receive)
 
     def new_attempt_id(self) -> str:
-        """Return a name for an attempt, new among those of all nodes."""
+        """Return an attempt id that is unique in the fleet."""
         self._count += 1
         return attempt_name(self._incarnation, self._count)
 
     @contextlib.contextmanager
     def attempt(
         self, choice: Choice, demand: Demand, began: Callable[[], None] = lambda: None
-    ) -> Iterator[SharedLoad]:
-        """Count a request at an endpoint for as long as the block runs.
+    ) -> Iterator[SharedAttempt]:
+        """Count a request as load of an endpoint for as long as the block runs.
 
         Args:
           began: Called once, when the endpoint has begun to answer.
@@ -105,30 +105,30 @@
         attempt_id = choice.attempt_id or self.new_attempt_id()
         self.publish(start_notice(choice, demand, attempt_id))
         try:
-            yield SharedLoad(self, attempt_id, endpoint_id, began)
+            yield SharedAttempt(self, attempt_id, endpoint_id, began)
         finally:
             self.publish(LoadNotice(LoadPhase.ENDED, attempt_id, endpoint_id))
 
     def unreached(self, entry: EndpointEntry) -> None:
-        """Note that no connection to an endpoint came up, so that no peer has to find out."""
+        """Publish that connecting to an endpoint failed, so that peers need not try it."""
         self.publish(endpoint_notice(LoadPhase.UNREACHED, entry))
 
     def gone(self, entry: EndpointEntry) -> None:
-        """Note that another endpoint has the address of this one."""
+        """Publish that an endpoint is gone: another one now has its address."""
         self.publish(endpoint_notice(LoadPhase.GONE, entry))
 
     def publish(self, notice: LoadNotice) -> None:
-        """Take in a notice here and send it to peers within GATHER_S."""
+        """Apply a notice to this node's registry and send it to peers within BATCH_DELAY_S."""
         self._registry.take_notice(notice)
         state = self._registry.find(notice.endpoint_id)
         if self._datagrams is None or state is None:
             return
         if not self._unsent:
-            asyncio.get_running_loop().call_later(GATHER_S, self._flush)
+            asyncio.get_running_loop().call_later(BATCH_DELAY_S, self._flush)
         self._unsent.setdefault(state.entry.service, []).append(notice)
 
     def _flush(self) -> None:
-        """Send what was gathered."""
+        """Send the batched notices."""
         unsent, self._unsent = self._unsent, {}
         for service, notices in unsent.items():
             receivers = self._receivers(service)
@@ -137,9 +137,9 @@
                 end = start + NOTICES_PER_DATAGRAM
                 self._datagrams.send(Kind.LOAD, rows[start:end], receivers)
 
-    def _take(self, rows: list, sender: str) -> None:
-        """Take in a peer's notices."""
+    def _receive(self, rows: list, sender: str) -> None:
+        """Apply a peer's notices."""
         for row in rows:
             notice = codec.read_notice(row)
-            self._received(notice)
+            self._on_notice(notice)
             self._registry.take_notice(notice)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing_test.py
@@ -1,4 +1,4 @@
-"""Tests of load_sharing.py: which peers get the notices of a request at an endpoint."""
+"""Tests of load_sharing.py: which peers get the load notices of a request at an endpoint."""
 
 import asyncio
 import random
@@ -13,9 +13,12 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
-from springbridge_node.gateway.peers.coordinator_set import MAX_EQUAL_NODES, CoordinatorSet
+from springbridge_node.gateway.peers.coordinator_set import (
+    MAX_ALL_COORDINATORS_NODES,
+    CoordinatorSet,
+)
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
-from springbridge_node.gateway.peers.load_sharing import GATHER_S, LoadSharing
+from springbridge_node.gateway.peers.load_sharing import BATCH_DELAY_S, LoadSharing
 
 ENTRY = EndpointEntry("e1", "model", "10.1.0.1:80", "perth-a", 4, False)
 DEMAND = Demand("q", "model", "perth-a", 2, 2.5)
@@ -34,7 +37,7 @@
 
 
 def play(peers):
-    """Return what a node with so many peers sends for one request, and its endpoint's loads."""
+    """Return what a node with some peers sends for one request, and its endpoint's load."""
     me, *others = [
         Member(f"n{number}", f"n{number}", f"10.0.0.{number}:1", "", "perth-a")
         for number in range(peers + 1)
@@ -52,13 +55,13 @@
         sharing.connect(datagrams)
         with sharing.attempt(Choice(state), DEMAND):
             during = state.in_flight
-        await asyncio.sleep(GATHER_S * 3)
+        await asyncio.sleep(BATCH_DELAY_S * 3)
         return datagrams.sent, during, state.in_flight, membership
 
     return asyncio.run(body())
 
 
-def test_all_peers_hear_of_the_beginning_and_the_end_in_one_datagram():
+def test_all_peers_get_the_start_and_the_end_in_one_datagram():
     sent, during, after, _ = play(7)
     ((rows, peers),) = sent
     assert_that(peers, HasLength(7))
@@ -66,8 +69,8 @@
     assert_that((during, after), Equals((1, 0)))
 
 
-@pytest.mark.parametrize("peers", [MAX_EQUAL_NODES, 40])
-def test_in_a_large_fleet_the_schedulers_hear_and_nobody_else(peers):
+@pytest.mark.parametrize("peers", [MAX_ALL_COORDINATORS_NODES, 40])
+def test_in_a_large_fleet_only_coordinators_get_notices(peers):
     sent, during, after, membership = play(peers)
     expected = {
         member.peer_address
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup.py
@@ -1,8 +1,8 @@
-"""Asks peers for members that their digests name by hash only, and answers such requests.
+"""Requests members that digests name by hash only, and answers such requests.
 
 A digest has the ages of many members and the rows of a few. Without lookups a node that starts in a
-large fleet learns of the others a few rows at a time. Who has which role and each node's share of
-the retry budget follow from the members, so that nodes which know different ones disagree on them.
+large fleet learns of the others a few rows at a time. The assignment of roles and each node's share
+of the retry budget depend on the membership, so nodes with different views disagree on them.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,71 +14,77 @@
 from springbridge_node.gateway.peers import age_vector, codec
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 
-# Members in one request. The answer, of some 130 bytes for each, stays within a few kB at a peer
-# that many nodes ask at once.
-ASKED_AT_ONCE = 48
-# Members in one datagram of an answer, about 3 kB. As many as in a whole digest.
-TOLD_IN_DATAGRAM = 24
-# Seconds after which a member that was asked for and not told of is asked for again: the request or
-# its answer may be lost. Two beats.
-ASK_AGAIN_S = 0.5
+# Maximum number of members in one request. The reply, of some 130 bytes for each, stays within a
+# few kB, which matters at a peer that many nodes ask at the same time.
+MAX_REQUESTED_MEMBERS = 48
+# Maximum number of members in one datagram of a reply, about 3 kB. As many as in a full digest.
+MEMBERS_PER_DATAGRAM = 24
+# Seconds after which a member that is still unknown is requested again, since the request or its
+# reply may be lost. Two heartbeat intervals.
+REQUEST_RETRY_S = 0.5
 
 
 class MemberLookup:
-    """Asks for members, and tells of them."""
+    """Requests unknown members from peers, and answers such requests."""
 
     def __init__(
-        self, membership: Membership, datagrams: PeerDatagrams, may_tell: Callable[[], bool]
+        self, membership: Membership, datagrams: PeerDatagrams, may_announce: Callable[[], bool]
     ) -> None:
-        """Start to answer requests.
+        """Register the handler for requests.
 
         Args:
-          may_tell: Returns whether this node may tell of itself; each answer begins with its row.
+          may_announce: Returns whether this node may send its own row; each reply begins with it.
         """
         self._membership = membership
         self._datagrams = datagrams
-        self._may_tell = may_tell
-        self._asked_s: dict[int, float] = {}
-        datagrams.handle(Kind.MEMBERS_REQUEST, self._answer)
+        self._may_announce = may_announce
+        self._requested_s: dict[int, float] = {}
+        datagrams.handle(Kind.MEMBERS_REQUEST, self._handle_request)
 
-    def ask(self, keys: Iterable[int], teller_address: str) -> None:
-        """Ask the peer that named some members for their rows, unless it was just done.
+    def request(self, keys: Iterable[int], peer_address: str) -> None:
+        """Request members from the peer that named them, unless requested within REQUEST_RETRY_S.
 
         Args:
-          keys: Hashes of their incarnations; see age_vector.key_of().
+          keys: Hashes of the members' incarnations; see age_vector.key_of().
         """
         now_s = clock.now_s()
-        due = [key for key in keys if now_s >= self._asked_s.get(key, float("-inf")) + ASK_AGAIN_S]
+        due = [
+            key
+            for key in keys
+            if now_s >= self._requested_s.get(key, float("-inf")) + REQUEST_RETRY_S
+        ]
         if not due:
             return
-        asked = due[:ASKED_AT_ONCE]
-        self._asked_s.update(dict.fromkeys(asked, now_s))
-        self._datagrams.send(Kind.MEMBERS_REQUEST, asked, [teller_address])
+        requested = due[:MAX_REQUESTED_MEMBERS]
+        self._requested_s.update(dict.fromkeys(requested, now_s))
+        self._datagrams.send(Kind.MEMBERS_REQUEST, requested, [peer_address])
 
-    def forget_asked(self) -> None:
-        """Drop what is kept of requests whose members may be asked for again."""
-        limit_s = clock.now_s() - ASK_AGAIN_S
-        self._asked_s = {
-            key: asked_s for key, asked_s in self._asked_s.items() if asked_s > limit_s
+    def forget_expired(self) -> None:
+        """Drop the times of requests that may be repeated by now."""
+        limit_s = clock.now_s() - REQUEST_RETRY_S
+        self._requested_s = {
+            key: requested_s
+            for key, requested_s in self._requested_s.items()
+            if requested_s > limit_s
         }
 
-    def _answer(self, keys: list, sender: str) -> None:
-        """Tell a peer of the members that it asked for, as digests that it merges like others.
+    def _handle_request(self, keys: list, sender: str) -> None:
+        """Send a peer the members that it requested, as digests that it merges like any other.
 
-        Each has this node's own row first, so that one goes out if only that is asked for.
+        Each digest begins with this node's own row, so one is sent even if only that was requested.
         """
-        if not self._may_tell():
+        if not self._may_announce():
             return
-        asked = set(keys[:ASKED_AT_ONCE])
+        requested = set(keys[:MAX_REQUESTED_MEMBERS])
         running = [self._membership.me, *self._membership.reachable()]
         known = [
-            each.incarnation for each in running if age_vector.key_of(each.incarnation) in asked
+            each.incarnation for each in running if age_vector.key_of(each.incarnation) in requested
         ]
-        for start in range(0, len(known), TOLD_IN_DATAGRAM):
-            self._tell(known[start : start + TOLD_IN_DATAGRAM], sender)
+        for start in range(0, len(known), MEMBERS_PER_DATAGRAM):
+            self._send_members(known[start : start + MEMBERS_PER_DATAGRAM], sender)
 
-    def _tell(self, incarnations: list[str], receiver: str) -> None:
-        """Send a digest of some members, whole, with their ages."""
+    def _send_members(self, incarnations: list[str], receiver: str) -> None:
+        """Send a digest with full rows and the ages of some members."""
         members = self._membership.tell_of(incarnations)
         ages = [HeartbeatAge(member.incarnation, member.heard_ago_s) for member in members]
         rows = [codec.member_row(member) for member in (self._membership.me, *members)]
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup_test.py
@@ -1,4 +1,4 @@
-"""Tests of member_lookup.py: a node asks for the members that a digest names by hash only."""
+"""Tests of member_lookup.py: a node requests members that a digest names by hash only."""
 
 import random
 
@@ -13,9 +13,9 @@
 from springbridge_node.gateway.peers.datagrams import Kind
 from springbridge_node.gateway.peers.gossip import Gossip
 from springbridge_node.gateway.peers.member_lookup import (
-    ASK_AGAIN_S,
-    ASKED_AT_ONCE,
-    TOLD_IN_DATAGRAM,
+    MAX_REQUESTED_MEMBERS,
+    MEMBERS_PER_DATAGRAM,
+    REQUEST_RETRY_S,
 )
 from springbridge_node.gateway.peers.peer_builds import FIRST_HEARTBEAT, FIRST_HEARTBEAT_WITH_AGES
 
@@ -27,28 +27,28 @@
 
 
 class Sent:
-    """Datagrams that are kept in place of being sent."""
+    """Datagrams that are recorded instead of sent."""
 
     def __init__(self):
         self.sent = []
         self.handlers = {}
 
     def handle(self, kind, handler):
-        """Keep a handler, for tests to call."""
+        """Record a handler, for tests to call."""
         self.handlers[kind] = handler
 
     def send(self, kind, rows, peer_addresses):
-        """Keep what was sent."""
+        """Record a datagram."""
         self.sent.append((kind, rows, peer_addresses))
 
     def of(self, kind):
-        """Return rows and receivers of a kind."""
+        """Return the rows and receivers of each datagram of a kind."""
         return [(rows, receivers) for each, rows, receivers in self.sent if each is kind]
 
 
 @pytest.fixture
 def sent(monkeypatch, clock):
-    """Return the datagrams of a node, whose lookups go by the tests' clock."""
+    """Return the recorded datagrams of a node whose lookups use the tests' clock."""
     monkeypatch.setattr(node_clock, "_read", clock)
     return Sent()
 
@@ -66,7 +66,7 @@
 
 
 def take_digest(sent, names, heartbeat=FIRST_HEARTBEAT):
-    """Let the node get a digest whose ages name some members."""
+    """Deliver a digest whose ages name some members."""
     ages = [HeartbeatAge(name, 0.1) for name in names]
     teller = codec.member_row(member("teller", heartbeat))
     sent.handlers[Kind.AGED_DIGEST]([age_vector.encode(ages), teller], TELLER)
@@ -85,17 +85,17 @@
     take_digest(sent, ["x"])
     take_digest(sent, ["x"])
     assert_that(sent.of(Kind.MEMBERS_REQUEST), HasLength(1))
-    clock.now_s += ASK_AGAIN_S
+    clock.now_s += REQUEST_RETRY_S
     take_digest(sent, ["x"])
     assert_that(sent.of(Kind.MEMBERS_REQUEST), HasLength(2))
 
 
 def test_a_request_is_bounded_and_the_next_digest_asks_for_the_rest(gossip, sent):
-    names = [f"x{number}" for number in range(ASKED_AT_ONCE + 5)]
+    names = [f"x{number}" for number in range(MAX_REQUESTED_MEMBERS + 5)]
     take_digest(sent, names)
     take_digest(sent, names)
     sizes = [len(rows) for rows, _ in sent.of(Kind.MEMBERS_REQUEST)]
-    assert_that(sizes, Equals([ASKED_AT_ONCE, 5]))
+    assert_that(sizes, Equals([MAX_REQUESTED_MEMBERS, 5]))
 
 
 def test_peers_of_earlier_builds_are_not_asked(gossip, sent):
@@ -104,15 +104,17 @@
 
 
 def test_a_peer_is_told_whole_rows_of_the_members_that_it_asks_for(gossip, membership, sent):
-    membership.merge([member(f"x{number}") for number in range(TOLD_IN_DATAGRAM + 2)])
-    asked = keys([*(f"x{number}" for number in range(TOLD_IN_DATAGRAM + 1)), "stranger"])
+    membership.merge([member(f"x{number}") for number in range(MEMBERS_PER_DATAGRAM + 2)])
+    asked = keys([*(f"x{number}" for number in range(MEMBERS_PER_DATAGRAM + 1)), "stranger"])
     sent.handlers[Kind.MEMBERS_REQUEST](asked, TELLER)
     told = sent.of(Kind.AGED_DIGEST)
-    assert_that([len(rows) - 2 for rows, _ in told], Equals([TOLD_IN_DATAGRAM, 1]))
+    assert_that([len(rows) - 2 for rows, _ in told], Equals([MEMBERS_PER_DATAGRAM, 1]))
     assert_that({receivers[0] for _, receivers in told}, Equals({TELLER}))
     read = [codec.read_member(row, lambda name: None) for rows, _ in told for row in rows[1:]]
     named = {each.incarnation for each in read}
-    assert_that(named, Equals({"me", *(f"x{number}" for number in range(TOLD_IN_DATAGRAM + 1))}))
+    assert_that(
+        named, Equals({"me", *(f"x{number}" for number in range(MEMBERS_PER_DATAGRAM + 1))})
+    )
 
 
 def test_a_node_that_is_asked_for_itself_answers(gossip, sent):
@@ -135,8 +137,8 @@
 
 
 def test_a_node_that_is_not_ready_tells_nobody_of_itself(membership, sent):
-    # Peers would give callers its address.
-    Gossip(membership, sent, lambda: None, may_tell=lambda: False)
+    # Otherwise peers would send callers to it.
+    Gossip(membership, sent, lambda: None, may_announce=lambda: False)
     membership.merge([member("x")])
     take_digest(sent, ["y"])
     sent.handlers[Kind.MEMBERS_REQUEST](keys(["me", "x"]), TELLER)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/new_peers.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/new_peers.py
@@ -1,7 +1,7 @@
-"""Which new peers this node tells what it knows.
+"""Detects new peers and decides which of them this node sends its current state to.
 
-A node that starts knows nothing of what was told before. Those that come first in a ranking for it
-tell it, so that all agree on who does without a message.
+A node that starts has missed everything sent before. The nodes that rank first for it by a hash
+send it what they know, so that all nodes agree without messages on who does.
 """
 
 from itertools import islice
@@ -9,21 +9,21 @@
 from springbridge.hashing import score
 from springbridge.membership import Membership
 
-# Nodes that tell a peer which starts. More than one, as a datagram may be lost.
-GREETERS = 3
+# Number of nodes that send their state to a new peer. More than one, as a datagram may be lost.
+SENDERS_PER_NEW_PEER = 3
 
 
-class Greeting:
-    """The peers that this node has seen so far."""
+class NewPeers:
+    """Detects peers that have become reachable since the last call."""
 
     def __init__(self, membership: Membership) -> None:
-        """Start without peers."""
+        """Start without known peers."""
         self._membership = membership
         self._seen: set[str] = set()
         self._version = -1
 
-    def new_peers(self) -> list[str]:
-        """Return the addresses of peers that were not there at the last look and are told by me."""
+    def detect(self) -> list[str]:
+        """Return the addresses of peers new since the last call and assigned to this node."""
         version = self._membership.live_version()
         if version == self._version:
             return []
@@ -33,9 +33,10 @@
         return [running[name].peer_address for name in new if self._is_mine(name, running)]
 
     def _is_mine(self, incarnation: str, running: dict) -> bool:
-        """Return whether this node is among those that tell a peer."""
+        """Return whether this node is among those that send their state to a peer."""
         mine = score(incarnation, self._membership.me.incarnation)
         others = (score(incarnation, each) for each in running if each != incarnation)
-        # The search ends with the last greeter before this node; a fleet starts all at once.
-        before_me = islice((each for each in others if each > mine), GREETERS)
-        return sum(1 for _ in before_me) < GREETERS
+        # Stops at SENDERS_PER_NEW_PEER nodes ranked before this one: when a whole fleet starts,
+        # each node checks every other.
+        before_me = islice((each for each in others if each > mine), SENDERS_PER_NEW_PEER)
+        return sum(1 for _ in before_me) < SENDERS_PER_NEW_PEER
--- a/packages/springbridge-node/springbridge_node/gateway/peers/pending_replies.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/pending_replies.py
@@ -1,46 +1,48 @@
-"""Questions to peers by datagram that wait for their replies, each for a short time."""
+"""Matches datagram replies to the requests that await them, each with a short timeout."""
 
 import asyncio
 import itertools
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-# Seconds to wait for a peer's reply.
-ANSWER_S = 0.08
+# Default time to wait for a peer's reply, in seconds.
+REPLY_TIMEOUT_S = 0.08
 
 Reply = TypeVar("Reply")
 
 
 class PendingReplies(Generic[Reply]):
-    """The questions of one kind that have no reply yet, by number."""
+    """The outstanding requests of one kind, by request number."""
 
     def __init__(self) -> None:
-        """Start without a question."""
+        """Start without outstanding requests."""
         self._numbers = itertools.count()
         self._waiting: dict[int, asyncio.Future[Reply]] = {}
 
-    async def ask(self, send: Callable[[int], None], longest_s: float = ANSWER_S) -> Reply | None:
-        """Return the reply to a question, or None if it does not come in time.
+    async def request(
+        self, send: Callable[[int], None], timeout_s: float = REPLY_TIMEOUT_S
+    ) -> Reply | None:
+        """Send a request and return its reply, or None if none comes in time.
 
         Args:
-          send: Sends the question under a number, which the reply repeats.
-          longest_s: How long to wait for it, in seconds.
+          send: Sends the request with the given number, which the reply repeats.
+          timeout_s: How long to wait for the reply, in seconds.
         """
         number = next(self._numbers)
         fut = asyncio.get_running_loop().create_future()
         self._waiting[number] = fut
         send(number)
         try:
-            async with asyncio.timeout(longest_s):
+            async with asyncio.timeout(timeout_s):
                 return await fut
         except TimeoutError:
-            # No line here: who asked goes on without, and logs what that leads to.
+            # Not logged here: the caller continues without a reply and logs the consequence.
             return None
         finally:
             del self._waiting[number]
 
-    def take(self, number: int, reply: Reply) -> None:
-        """Hand a reply to the question that waits for it; a late one is of no use."""
+    def resolve(self, number: int, reply: Reply) -> None:
+        """Pass a reply to the request that awaits it; ignore it if that has timed out."""
         fut = self._waiting.get(number)
         if fut is not None and not fut.done():
             fut.set_result(reply)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/rate_permits.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/rate_permits.py
@@ -1,8 +1,8 @@
-"""Asks the granter of an endpoint for a permit to send it a request, or answers as the granter.
+"""Requests permits to use an endpoint from its granter, and grants them as the granter.
 
-A question and its answer are one datagram each, and carry what either node knows of the rate, so
-that the newer statement decides. Without an answer in time there is no permit: two granters that
-both grant would double the rate.
+A request and its reply are one datagram each. Both carry what the sender knows of the endpoint's
+rate limit, so that the newer statement decides. Without a reply in time there is no permit: two
+granters that both grant would double the rate.
 """
 
 from collections.abc import Callable
@@ -21,16 +21,17 @@
 from springbridge_node.gateway.peers.statement_rows import PermitAnswer, PermitReply, PermitRequest
 from springbridge_node.gateway.peers.statement_sharing import StatementSharing
 
-# Seconds from its start in which a node does not grant to itself: it may not know yet who else is
-# there, and take itself for the granter of everything. Peers that ask it know of it.
+# Seconds after its start during which a node grants no permits to itself: it may not know the other
+# members yet and take itself for the granter of every endpoint. Peers that request permits from it
+# know it as a member, so they are answered.
 SETTLE_S = 2.0
-# Seconds for which the part of the instances that this node reaches is kept, the interval of the
-# heartbeats: to work it out takes a look at every member.
-SHARE_KEPT_S = 0.25
+# Seconds for which the share of instances that this node reaches is cached, equal to the heartbeat
+# interval. Computing it visits every member.
+SHARE_CACHE_S = 0.25
 
 
 class RatePermits:
-    """Both sides of the question."""
+    """Client and granter side of permit requests."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         sharing: StatementSharing,
         clock: Callable[[], float],
     ) -> None:
-        """Keep the parts; nothing is granted yet."""
+        """Start without permits granted."""
         self._table = table
         self._membership = membership
         self._registry = registry
@@ -56,39 +57,43 @@
         self._share_until_s = float("-inf")
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to ask and to answer."""
+        """Start sending and answering permit requests."""
         self._datagrams = datagrams
-        datagrams.handle(Kind.PERMIT_REQUEST, self._answer)
-        datagrams.handle(Kind.PERMIT_REPLY, self._take_reply)
-        datagrams.handle(Kind.PERMIT_BACK, self._take_back)
+        datagrams.handle(Kind.PERMIT_REQUEST, self._handle_request)
+        datagrams.handle(Kind.PERMIT_REPLY, self._receive_reply)
+        datagrams.handle(Kind.PERMIT_BACK, self._receive_return)
 
-    async def ask(self, entry: EndpointEntry, priority: int, longest_s: float) -> Grant | None:
-        """Return whether a request may be sent to an endpoint, None if its granter is silent.
+    async def request(self, entry: EndpointEntry, priority: int, timeout_s: float) -> Grant | None:
+        """Request a permit to send one request to an endpoint.
 
         Args:
-          longest_s: How long to wait for the granter, in seconds.
+          priority: Rank of the request, 0 most urgent.
+          timeout_s: How long to wait for the granter's reply, in seconds.
+
+        Returns:
+          None if no granter is available or the granter did not reply in time.
         """
         incarnation = entry.incarnation
-        granter = self._granters.to_ask(entry)
+        granter = self._granters.responsive(entry)
         if granter is None:
             return None
         if self._granters.is_me(granter) or self._datagrams is None:
-            return self._ask_myself(incarnation, priority)
+            return self._grant_to_self(incarnation, priority)
 
         def send(number: int) -> None:
-            request = PermitRequest(number, priority, self._sharing.told(incarnation))
+            request = PermitRequest(number, priority, self._sharing.report(incarnation))
             row = statement_rows.request_row(request, self._clock())
             self._datagrams.send(Kind.PERMIT_REQUEST, row, [granter.peer_address])
 
-        reply = await self._pending.ask(send, longest_s)
+        reply = await self._pending.request(send, timeout_s)
         if reply is None:
-            self._granters.silent(granter)
+            self._granters.mark_silent(granter)
             return None
-        self._sharing.merge(reply.told, granter.peer_address)
+        self._sharing.merge(reply.report, granter.peer_address)
         return Grant(reply.answer is not PermitAnswer.SPENT, reply.wait_s)
 
     def give_back(self, entry: EndpointEntry) -> None:
-        """Give back a permit whose request surely did not reach the endpoint."""
+        """Return a permit whose request certainly did not reach the endpoint."""
         granter = self._granters.of(entry)
         if self._granters.is_me(granter) or self._datagrams is None:
             self._grants.give_back(entry.incarnation)
@@ -97,20 +102,20 @@
         self._datagrams.send(Kind.PERMIT_BACK, row, [granter.peer_address])
 
     def forget_gone(self) -> None:
-        """Forget the permits of endpoints that have no rate any more."""
+        """Drop the state of endpoints that no longer have a rate limit."""
         limited = set(self._table.limited())
         self._grants.keep_only(limited)
-        self._granters.forget_all_but({each.endpoint_id for each in limited})
+        self._granters.keep_only({each.endpoint_id for each in limited})
 
-    def _ask_myself(self, incarnation: EndpointIncarnation, priority: int) -> Grant:
-        """Grant a permit to this node or not."""
+    def _grant_to_self(self, incarnation: EndpointIncarnation, priority: int) -> Grant:
+        """Decide on a permit for this node as the granter; refuse for SETTLE_S after the start."""
         settling_s = self._settled_s - self._clock()
         if settling_s > 0.0:
             return Grant(False, settling_s)
         return self._decide(incarnation, priority)
 
     def _decide(self, incarnation: EndpointIncarnation, priority: int) -> Grant:
-        """Grant a permit or not, as the granter."""
+        """Decide on a permit as the granter."""
         per_s = self._table.per_s(incarnation)
         if per_s is None:
             return Grant(True)
@@ -118,46 +123,46 @@
         return self._grants.ask(incarnation, per_s * part, priority)
 
     def _tenure_s(self, incarnation: EndpointIncarnation) -> float:
-        """Return for how many seconds this node has been the granter of an endpoint."""
+        """Return for how many seconds this node has been an endpoint's granter, 0 if it is not."""
         state = self._registry.find(incarnation.endpoint_id)
         return self._granters.tenure_s(state.entry) if state else 0.0
 
     def _reached_share(self) -> float:
-        """Return the part of the rate that this node may grant."""
+        """Return the share of the instances that this node reaches, cached for SHARE_CACHE_S."""
         now_s = self._clock()
         if now_s >= self._share_until_s:
             self._share = self._membership.reached_share()
-            self._share_until_s = now_s + SHARE_KEPT_S
+            self._share_until_s = now_s + SHARE_CACHE_S
         return self._share
 
-    def _answer(self, row: list, sender: str) -> None:
-        """Answer a node's question."""
+    def _handle_request(self, row: list, sender: str) -> None:
+        """Answer a peer's permit request."""
         request = statement_rows.read_request(row, self._clock())
-        self._sharing.merge(request.told, sender)
-        incarnation = request.told.incarnation
+        self._sharing.merge(request.report, sender)
+        incarnation = request.report.incarnation
         grant = self._decide(incarnation, request.priority)
         reply = PermitReply(
             request.number,
-            self._answer_of(grant, incarnation),
+            self._answer_for(grant, incarnation),
             grant.wait_s,
-            self._sharing.told(incarnation),
+            self._sharing.report(incarnation),
         )
         self._datagrams.send(
             Kind.PERMIT_REPLY, statement_rows.reply_row(reply, self._clock()), [sender]
         )
 
-    def _answer_of(self, grant: Grant, incarnation: EndpointIncarnation) -> PermitAnswer:
+    def _answer_for(self, grant: Grant, incarnation: EndpointIncarnation) -> PermitAnswer:
         if not grant.granted:
             return PermitAnswer.SPENT
         if self._table.per_s(incarnation) is None:
             return PermitAnswer.NO_RATE
         return PermitAnswer.GRANTED
 
-    def _take_reply(self, row: list, sender: str) -> None:
-        """Hand a reply to the request that waits for it."""
+    def _receive_reply(self, row: list, sender: str) -> None:
+        """Pass a reply to the request that awaits it."""
         reply = statement_rows.read_reply(row, self._clock())
-        self._pending.take(reply.number, reply)
+        self._pending.resolve(reply.number, reply)
 
-    def _take_back(self, row: list, sender: str) -> None:
-        """Take back a permit."""
+    def _receive_return(self, row: list, sender: str) -> None:
+        """Take back a permit that a peer did not use."""
         self._grants.give_back(statement_rows.read_incarnation(row))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_client.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_client.py
@@ -1,8 +1,9 @@
-"""Asking node's side of remote selection: asks a coordinator for an endpoint.
+"""Client side of remote selection: asks a coordinator to select an endpoint.
 
-A node outside the coordinators sees its own requests only, so it asks one of them. It waits for the
-reply no longer than ANSWER_S; without one it chooses alone and leaves that coordinator out for a
-moment. What the node itself knows of an endpoint comes first: one that it cannot use is not taken.
+A node that is no coordinator sees the load of its own requests only, so it asks a coordinator. If
+no reply comes within REPLY_TIMEOUT_S, the node selects an endpoint itself and skips that
+coordinator for a short time. The node's own knowledge of an endpoint takes precedence: a selected
+endpoint that this node cannot use is not taken.
 """
 
 from collections.abc import Collection
@@ -20,13 +21,13 @@
 
 
 class SelectionClient:
-    """Asks coordinators for endpoints."""
+    """Asks coordinators to select endpoints."""
 
     def __init__(self, registry: EndpointRegistry, coordinators: CoordinatorSet) -> None:
-        """Keep the parts.
+        """Create a client that selects nothing until connect() is called.
 
         Args:
-          registry: Has what this node knows of each endpoint.
+          registry: The state of each endpoint as this node knows it.
         """
         self._registry = registry
         self._coordinators = coordinators
@@ -34,23 +35,24 @@
         self._datagrams: PeerDatagrams | None = None
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to ask."""
+        """Start sending requests over these datagrams."""
         self._datagrams = datagrams
-        datagrams.handle(Kind.SELECTION_REPLY, self._take_reply)
+        datagrams.handle(Kind.SELECTION_REPLY, self._receive_reply)
 
-    async def ask(
+    async def select(
         self,
         demand: Demand,
         tried: Collection[str],
         attempt_id: str,
         held_back: Collection[str] = (),
     ) -> Selection | None:
-        """Return what a coordinator selects, or None if this node has to choose alone.
+        """Return a coordinator's selection, or None if this node has to select by itself.
 
         Args:
-          held_back: Ids of the endpoints whose rate is spent for this node.
+          tried: Ids of the endpoints that have had the request already.
+          held_back: Ids of the endpoints whose rate limit is exhausted for this node.
         """
-        address = self._coordinators.first(demand.service)
+        address = self._coordinators.preferred(demand.service)
         if address is None or self._datagrams is None:
             return None
         avoided = {*self._registry.avoided(demand.service), *held_back}
@@ -75,15 +77,15 @@
         attempt_id: str,
         avoided: list[str],
     ) -> SelectionReply | None:
-        """Return a coordinator's reply, or None if it does not come in time."""
+        """Return a coordinator's reply, or None if none comes within REPLY_TIMEOUT_S."""
 
         def send(number: int) -> None:
             request = SelectionRequest(number, attempt_id, list(tried), avoided, demand)
             self._datagrams.send(Kind.SELECTION_REQUEST, codec.request_row(request), [address])
 
-        return await self._pending.ask(send)
+        return await self._pending.request(send)
 
-    def _take_reply(self, row: list, sender: str) -> None:
-        """Hand a reply to the request that waits for it."""
+    def _receive_reply(self, row: list, sender: str) -> None:
+        """Pass a reply to the request that awaits it."""
         reply = codec.read_reply(row)
-        self._pending.take(reply.number, reply)
+        self._pending.resolve(reply.number, reply)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_client_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_client_test.py
@@ -1,4 +1,4 @@
-"""Tests of selection_client.py: asking a coordinator for an endpoint."""
+"""Tests of selection_client.py: asking coordinators to select an endpoint."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def ask(wire, fleet, clock, demand, make_registry):
-    """Return a function that asks so many times, with all coordinators answering."""
+    """Return a function that sends requests in turn, with a server at each coordinator."""
 
     def play(times=1):
         found = CoordinatorSet(fleet, clock)
@@ -30,7 +30,7 @@
         client.connect(wire.end(fleet.me.peer_address))
 
         async def body():
-            return [await client.ask(demand, (), f"me/{number}") for number in range(times)]
+            return [await client.select(demand, (), f"me/{number}") for number in range(times)]
 
         return asyncio.run(body())
 
@@ -43,13 +43,13 @@
     return [member.peer_address for member in ordered]
 
 
-def test_a_scheduler_names_an_engine_under_the_asker_s_attempt(fleet, ask):
+def test_a_coordinator_selects_an_endpoint_under_the_client_s_attempt_id(fleet, ask):
     (selection,) = ask()
     assert_that(selection.choice.attempt_id, Equals("me/0"))
     assert_that(selection.choice.coordinator, Equals(first_coordinators(fleet)[0]))
 
 
-def test_a_silent_scheduler_is_left_out_and_the_next_one_asked(fleet, wire, ask):
+def test_a_silent_coordinator_is_skipped_and_the_next_one_asked(fleet, wire, ask):
     first, second, *_ = first_coordinators(fleet)
     wire.silent = {first}
     unanswered, answered = ask(times=2)
@@ -58,25 +58,25 @@
     assert_that(wire.asked, Equals([first, second]))
 
 
-def test_with_all_schedulers_silent_the_node_chooses_alone(fleet, wire, ask):
+def test_with_all_coordinators_silent_the_node_selects_by_itself(fleet, wire, ask):
     wire.silent = set(first_coordinators(fleet))
     answers = ask(times=7)
     assert_that(answers, Equals([None] * 7))
     assert_that(len(wire.asked), Equals(6))
 
 
-def test_an_engine_that_the_asker_may_not_use_is_not_taken(
+def test_an_endpoint_that_the_client_may_not_use_is_not_taken(
     fleet, wire, clock, demand, make_registry
 ):
     found = CoordinatorSet(fleet, clock)
-    address = found.first(MODEL)
+    address = found.preferred(MODEL)
     SelectionServer(make_registry(), by_token_cost, clock).connect(wire.end(address))
     client = SelectionClient(make_registry(endpoints=0), found)
     client.connect(wire.end(fleet.me.peer_address))
-    assert_that(asyncio.run(client.ask(demand, (), "me/0")), Is(None))
+    assert_that(asyncio.run(client.select(demand, (), "me/0")), Is(None))
 
 
-def test_a_refusal_by_a_scheduler_comes_with_what_decided_it(
+def test_a_refusal_by_a_coordinator_has_the_overload_that_caused_it(
     fleet, wire, clock, demand, make_registry
 ):
     registry = make_registry()
@@ -86,6 +86,6 @@
         SelectionServer(registry, by_token_cost, clock).connect(wire.end(member.peer_address))
     client = SelectionClient(make_registry(), CoordinatorSet(fleet, clock))
     client.connect(wire.end(fleet.me.peer_address))
-    selection = asyncio.run(client.ask(demand, (), "me/0"))
+    selection = asyncio.run(client.select(demand, (), "me/0"))
     assert_that(selection.choice, Is(None))
     assert_that((selection.overload.in_flight, selection.overload.backlog_s), Equals((60, 0.0)))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_server.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_server.py
@@ -1,9 +1,9 @@
-"""Coordinator's side of remote selection: answers nodes that ask this one for an endpoint.
+"""Coordinator side of remote selection: selects endpoints for nodes that ask this one.
 
-A request and its reply are one datagram each. The server counts the attempt at the endpoint that it
-names at once, so that the next request sees it. The asking node confirms the attempt by its own
-load notice; an attempt that no notice confirms in time is dropped again, because its node may have
-given up waiting, chosen by itself, or died.
+A request and its reply are one datagram each. The server counts the attempt at the selected
+endpoint at once, so that the next selection takes it into account. The client node confirms the
+attempt by its own load notice. An attempt that is not confirmed in time is dropped, because the
+client may have timed out, selected an endpoint itself, or ended.
 """
 
 from collections.abc import Callable
@@ -19,17 +19,17 @@
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 from springbridge_node.gateway.peers.selection_messages import SelectionReply, SelectionRequest
 
-# Seconds for which an attempt counts before its node's own notice has come. It has to outlast the
-# wait for the reply (0.08 s) and the gathering of notices (0.01 s). Several times their sum.
-AWAIT_NOTICE_S = 0.5
+# Seconds for which an attempt counts without a load notice from its own node. It has to exceed the
+# reply timeout (0.08 s) plus the batching delay of notices (0.01 s); it is several times their sum.
+CONFIRMATION_TIMEOUT_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Unconfirmed:
-    """An attempt that its node has not confirmed.
+class UnconfirmedAttempt:
+    """An attempt that the client node has not confirmed yet.
 
     Attributes:
-      since_s: When it was selected, on the server's clock.
+      since_s: When the endpoint was selected, on the server's clock.
     """
 
     endpoint_id: str
@@ -37,7 +37,7 @@
 
 
 class SelectionServer:
-    """Answers nodes that ask this one for an endpoint."""
+    """Answers selection requests of other nodes."""
 
     def __init__(
         self,
@@ -46,27 +46,28 @@
         clock: Callable[[], float] = now_s,
         has_rate: Callable[[str], bool] = lambda endpoint_id: False,
     ) -> None:
-        """Keep the parts.
+        """Create a server that answers nothing until connect() is called.
 
         Args:
-          registry: Knows the load of all nodes, since every node sends its load notices here.
-          has_rate: Returns whether the endpoint of an id names a rate. A node that avoids such an
-            endpoint waits for a permit.
+          registry: Has the load of all nodes, since every node sends its load notices to
+            coordinators.
+          has_rate: Returns whether the endpoint with an id states a rate limit. A node that avoids
+            such an endpoint is waiting for a permit.
         """
         self._registry = registry
         self._choose = choose
         self._has_rate = has_rate
         self._clock = clock
         self._datagrams: PeerDatagrams | None = None
-        self._unconfirmed: dict[str, Unconfirmed] = {}
+        self._unconfirmed: dict[str, UnconfirmedAttempt] = {}
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to answer."""
+        """Start answering requests."""
         self._datagrams = datagrams
-        datagrams.handle(Kind.SELECTION_REQUEST, self._answer)
+        datagrams.handle(Kind.SELECTION_REQUEST, self._handle_request)
 
     def select(self, request: SelectionRequest) -> SelectionReply:
-        """Select the endpoint for an attempt and count the attempt there."""
+        """Select an endpoint for an attempt and count the attempt as load there."""
         self._drop_unconfirmed()
         demand = request.demand
         held_back = [each for each in request.avoided if self._has_rate(each)]
@@ -78,20 +79,20 @@
             return SelectionReply(request.number, "", "", 0, selection.overload)
         endpoint_id = choice.state.entry.endpoint_id
         self._registry.take_notice(start_notice(choice, demand, request.attempt_id))
-        self._unconfirmed[request.attempt_id] = Unconfirmed(endpoint_id, self._clock())
+        self._unconfirmed[request.attempt_id] = UnconfirmedAttempt(endpoint_id, self._clock())
         source_id = choice.source.entry.endpoint_id if choice.source else ""
         return SelectionReply(request.number, endpoint_id, source_id, choice.fetched_tokens, None)
 
     def confirm(self, notice: LoadNotice) -> None:
-        """Take a node's own notice of an attempt as the confirmation."""
+        """Mark an attempt as confirmed by a load notice from its own node."""
         self._unconfirmed.pop(notice.attempt_id, None)
 
     def _drop_unconfirmed(self) -> None:
-        """Drop the attempts that were not confirmed in time.
+        """Drop attempts that were not confirmed within CONFIRMATION_TIMEOUT_S.
 
-        A dict keeps the order of insertion, so the first that is young enough ends the search.
+        A dict keeps the order of insertion, so the search ends at the first recent attempt.
         """
-        oldest_s = self._clock() - AWAIT_NOTICE_S
+        oldest_s = self._clock() - CONFIRMATION_TIMEOUT_S
         while self._unconfirmed:
             attempt_id, attempt = next(iter(self._unconfirmed.items()))
             if attempt.since_s > oldest_s:
@@ -99,7 +100,7 @@
             del self._unconfirmed[attempt_id]
             self._registry.take_notice(LoadNotice(LoadPhase.ENDED, attempt_id, attempt.endpoint_id))
 
-    def _answer(self, row: list, sender: str) -> None:
-        """Answer a node's request."""
+    def _handle_request(self, row: list, sender: str) -> None:
+        """Answer a node's selection request."""
         reply = self.select(codec.read_request(row))
         self._datagrams.send(Kind.SELECTION_REPLY, codec.reply_row(reply), [sender])
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_server_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_server_test.py
@@ -9,10 +9,10 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge_node.gateway.peers.load_sharing import GATHER_S
-from springbridge_node.gateway.peers.pending_replies import ANSWER_S
+from springbridge_node.gateway.peers.load_sharing import BATCH_DELAY_S
+from springbridge_node.gateway.peers.pending_replies import REPLY_TIMEOUT_S
 from springbridge_node.gateway.peers.selection_messages import SelectionRequest
-from springbridge_node.gateway.peers.selection_server import AWAIT_NOTICE_S, SelectionServer
+from springbridge_node.gateway.peers.selection_server import CONFIRMATION_TIMEOUT_S, SelectionServer
 
 
 @pytest.fixture
@@ -28,13 +28,13 @@
 
 
 def select(server, demand, attempt_id, avoided=()):
-    """Return what a server selects for an attempt."""
+    """Return a server's reply for an attempt."""
     return server.select(SelectionRequest(0, attempt_id, [], list(avoided), demand))
 
 
-def test_a_scheduler_learns_of_an_engine_that_an_asker_found_gone(server, registry, demand):
-    # A large fleet whose engines had come back under other names: coordinators named the old ones
-    # again and again, as each node had to find out for itself.
+def test_a_coordinator_learns_of_an_endpoint_that_a_client_found_gone(server, registry, demand):
+    # After endpoints restart under other ids, coordinators must not go on selecting the old ones
+    # until each node has found out for itself.
     gone = select(server, demand, "a").endpoint_id
     registry.take_notice(LoadNotice(LoadPhase.GONE, "", gone))
     second = select(server, demand, "b").endpoint_id
@@ -46,7 +46,7 @@
     assert_that(select(server, demand, "d", others).endpoint_id, Equals(second))
 
 
-def test_questions_at_the_same_moment_are_spread(server):
+def test_requests_at_the_same_moment_are_spread_over_endpoints(server):
     short = [Demand(f"q{number}", "model", "a", 1, 2.5, 4_000, (), False) for number in range(4)]
     named = {select(server, demand, demand.request_id).endpoint_id for demand in short}
     assert_that(len(named), Equals(4))
@@ -59,13 +59,13 @@
     server.confirm(notice)
     registry.take_notice(notice)
     assert_that(registry.find(kept).loads["kept"].prefill_tokens, Equals(16_000))
-    clock.now_s += AWAIT_NOTICE_S + 0.1
+    clock.now_s += CONFIRMATION_TIMEOUT_S + 0.1
     select(server, demand, "later")
     assert_that("dropped" in registry.find(dropped).loads, Equals(False))
     assert_that("kept" in registry.find(kept).loads, Equals(True))
 
 
-def test_the_least_urgent_are_refused_by_the_scheduler_while_all_engines_are_too_full(
+def test_the_least_urgent_are_refused_by_the_coordinator_while_all_endpoints_are_too_full(
     server, registry, demand
 ):
     for number in range(4 * 40):
@@ -75,4 +75,4 @@
 
 
 def test_an_attempt_counts_until_its_node_can_have_confirmed_it():
-    assert_that(AWAIT_NOTICE_S, GreaterThan(ANSWER_S + GATHER_S))
+    assert_that(CONFIRMATION_TIMEOUT_S, GreaterThan(REPLY_TIMEOUT_S + BATCH_DELAY_S))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/statement_rows.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/statement_rows.py
@@ -1,4 +1,4 @@
-"""Rows about the statements of endpoints, as nodes send them to each other; see codec.py."""
+"""Encodes and decodes the rows about statements of endpoints and permits; see codec.py."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -8,23 +8,23 @@
 
 from springbridge_node.gateway.peers.row_fields import number, text, whole
 
-# Decimals of an age in seconds. Far finer than a round trip to an endpoint.
+# Decimal places of an age in seconds. Far finer than a round trip to an endpoint.
 AGE_DECIMALS = 3
-# The sixth field of a row about an endpoint that leaves.
+# Value of the sixth field in the row of an endpoint that leaves.
 LEAVES = 1
-# Seconds by which a request that a peer tells of counts as sent earlier. A datagram's time on the
-# way is not in its ages, and the end of a rate must not look newer than it is.
-ON_THE_WAY_S = 0.1
+# Seconds by which the time of a statement's request in a peer's report is set earlier. The ages in
+# a datagram do not include its transit time, and the end of a rate must not look newer than it is.
+TRANSIT_ALLOWANCE_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class ToldStatements:
-    """What a node tells of the statements of an endpoint.
+class StatementReport:
+    """What a node knows of the statements of an endpoint, as it reports it to peers.
 
     Attributes:
-      statement: Of its rate.
-      leaves: Whether it said that it leaves, to this node or to one that told this node.
-      rest_s: What is left of a rest that it asked one of these for, in seconds; 0 for none.
+      statement: The statement of its rate limit.
+      leaves: Whether it stated that it leaves, to this node or to a peer that reported it.
+      rest_s: Remaining seconds of a rest that it asked one of these nodes for; 0 for none.
     """
 
     incarnation: EndpointIncarnation
@@ -34,7 +34,7 @@
 
 
 class PermitAnswer(IntEnum):
-    """The answer to a question for a permit; the numbers are on the wire and keep their meaning."""
+    """The answer to a permit request; the numbers are sent and must not change."""
 
     SPENT = 0
     GRANTED = 1
@@ -43,110 +43,110 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitRequest:
-    """A node asks whether it may send one request to an endpoint.
+    """A request for a permit to send one request to an endpoint.
 
     Attributes:
-      number: The node's own count of its questions; the reply repeats it.
+      number: Sequence number of the permit request at its node; the reply repeats it.
       priority: Rank of the request, 0 most urgent.
-      told: What the node knows of the endpoint's rate.
+      report: What the requesting node knows of the endpoint's statements.
     """
 
     number: int
     priority: int
-    told: ToldStatements
+    report: StatementReport
 
 
 @dataclass(frozen=True, slots=True)
 class PermitReply:
-    """The answer to it.
+    """The granter's reply to a permit request.
 
     Attributes:
-      wait_s: If the rate is spent, seconds until the node may ask again.
-      told: What the answering node knows of the endpoint's rate.
+      wait_s: If the rate is exhausted, seconds until the node may ask again.
+      report: What the granter knows of the endpoint's statements.
     """
 
     number: int
     answer: PermitAnswer
     wait_s: float
-    told: ToldStatements
+    report: StatementReport
 
 
-def told_row(told: ToldStatements, now_s: float) -> list:
-    """Return the row of statements, with ages in place of moments.
+def report_row(report: StatementReport, now_s: float) -> list:
+    """Encode a report, with ages in place of points in time.
 
-    Earlier builds pass over what is behind the fifth field, so it stands only where there is
-    something to tell.
+    Earlier builds ignore fields after the fifth, which are sent only if the endpoint leaves or
+    rests.
     """
-    statement = told.statement
+    statement = report.statement
     ages = [now_s - statement.sent_s, now_s - statement.received_s]
     rounded = [round(age_s, AGE_DECIMALS) for age_s in ages]
-    row = [*incarnation_row(told.incarnation), statement.per_s, *rounded]
-    if told.rest_s > 0.0:
-        return [*row, int(told.leaves), round(told.rest_s, AGE_DECIMALS)]
-    return [*row, LEAVES] if told.leaves else row
+    row = [*incarnation_row(report.incarnation), statement.per_s, *rounded]
+    if report.rest_s > 0.0:
+        return [*row, int(report.leaves), round(report.rest_s, AGE_DECIMALS)]
+    return [*row, LEAVES] if report.leaves else row
 
 
-def read_told(row: list, now_s: float) -> ToldStatements:
-    """Return the statements of a row."""
+def read_report(row: list, now_s: float) -> StatementReport:
+    """Decode a report."""
     endpoint_id, born_ms, per_s, sent_ago_s, received_ago_s, *more = row
     statement = Statement(
         _read_per_s(per_s),
-        now_s - max(0.0, number(sent_ago_s)) - ON_THE_WAY_S,
+        now_s - max(0.0, number(sent_ago_s)) - TRANSIT_ALLOWANCE_S,
         now_s - max(0.0, number(received_ago_s)),
     )
     leaves = more[:1] == [LEAVES]
     rest_s = max(0.0, number(more[1])) if len(more) > 1 else 0.0
-    return ToldStatements(read_incarnation([endpoint_id, born_ms]), statement, leaves, rest_s)
+    return StatementReport(read_incarnation([endpoint_id, born_ms]), statement, leaves, rest_s)
 
 
 def _read_per_s(value: object) -> float | None:
-    """Return a rate, None for no limit.
+    """Decode a rate, None for no limit.
 
     Raises:
-      ValueError: It is none that a node keeps to.
+      ValueError: The value is not a rate that nodes comply with.
     """
     if value is None:
         return None
     per_s = number(value)
     if per_s < 0.0:
-        raise ValueError("a rate below zero")
+        raise ValueError("negative rate")
     return rate_of(StatedRate(per_s))
 
 
 def incarnation_row(incarnation: EndpointIncarnation) -> list:
-    """Return the row that names an endpoint."""
+    """Encode the incarnation of an endpoint."""
     return [incarnation.endpoint_id, incarnation.born_ms]
 
 
 def read_incarnation(row: list) -> EndpointIncarnation:
-    """Return the endpoint that a row names."""
+    """Decode the incarnation of an endpoint."""
     endpoint_id, born_ms, *_ = row
     return EndpointIncarnation(text(endpoint_id), None if born_ms is None else whole(born_ms))
 
 
 def request_row(request: PermitRequest, now_s: float) -> list:
-    """Return the row of a question."""
-    return [request.number, request.priority, told_row(request.told, now_s)]
+    """Encode a permit request."""
+    return [request.number, request.priority, report_row(request.report, now_s)]
 
 
 def read_request(row: list, now_s: float) -> PermitRequest:
-    """Return the question of a row."""
-    count, priority, told, *_ = row
-    return PermitRequest(whole(count), whole(priority), read_told(told, now_s))
+    """Decode a permit request."""
+    count, priority, report, *_ = row
+    return PermitRequest(whole(count), whole(priority), read_report(report, now_s))
 
 
 def reply_row(reply: PermitReply, now_s: float) -> list:
-    """Return the row of an answer."""
+    """Encode a permit reply."""
     wait_s = round(reply.wait_s, AGE_DECIMALS)
-    return [reply.number, int(reply.answer), wait_s, told_row(reply.told, now_s)]
+    return [reply.number, int(reply.answer), wait_s, report_row(reply.report, now_s)]
 
 
 def read_reply(row: list, now_s: float) -> PermitReply:
-    """Return the answer of a row."""
-    count, answer, wait_s, told, *_ = row
+    """Decode a permit reply."""
+    count, answer, wait_s, report, *_ = row
     return PermitReply(
         whole(count),
         PermitAnswer(whole(answer)),
         max(0.0, number(wait_s)),
-        read_told(told, now_s),
+        read_report(report, now_s),
     )
--- a/packages/springbridge-node/springbridge_node/gateway/peers/statement_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/statement_sharing_test.py
@@ -1,6 +1,7 @@
-"""Tests of what instances tell each other of endpoints that leave.
+"""Tests of statement_sharing.py: how instances learn of endpoints that leave or rest.
 
-The real parts run in drawn fleets, in virtual time; the endpoints and the network are stand-ins.
+The real code runs in simulated fleets, in virtual time; the endpoints and the network are
+stand-ins.
 """
 
 import asyncio
@@ -13,33 +14,33 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
 
-from springbridge_node.gateway.peers.statement_rows import ToldStatements, read_told, told_row
-from springbridge_node.gateway.peers.statement_sharing import NEWS_S, RETURN_SPREAD_S
+from springbridge_node.gateway.peers.statement_rows import StatementReport, read_report, report_row
+from springbridge_node.gateway.peers.statement_sharing import RESEND_S, RETURN_SPREAD_S
 
 # Seconds within which every instance has to know that an endpoint leaves.
 KNOWN_S = 0.5
-# Statement of an endpoint that never named a rate.
+# Statement of an endpoint that has never stated a rate.
 NO_RATE = Statement(None, 0.0, 0.0)
 ONE = EndpointIncarnation("e0", None)
 
 
 def registry_of(instance):
-    """Return what an instance knows of endpoints."""
+    """Return the endpoint registry of an instance."""
     return instance.parts.sharing._registry
 
 
 def leaving_of(instance):
-    """Return what an instance knows of the first endpoint's leaving."""
+    """Return whether the first endpoint leaves, as an instance knows it."""
     return registry_of(instance).find("e0").said.leaving
 
 
 def obstacle_at(instance):
-    """Return what stands against the first endpoint at an instance."""
+    """Return why an instance does not use the first endpoint, or None."""
     return obstacle(registry_of(instance).find("e0"), asyncio.get_running_loop().time())
 
 
 async def let_leave(fleet):
-    """Let the first endpoint say that it leaves in an answer to the first instance."""
+    """Make the first endpoint state in an answer to the first instance that it leaves."""
     fleet.endpoints[0].leaves = True
     fleet.instances[0].serve()
     while not leaving_of(fleet.instances[0]).is_certain:
@@ -60,7 +61,7 @@
 def test_nothing_more_is_sent_once_all_know(with_instances):
     async def body(fleet):
         await let_leave(fleet)
-        await asyncio.sleep(2.0 * NEWS_S)
+        await asyncio.sleep(2.0 * RESEND_S)
         before = sum(fleet.network.sent_bytes.values())
         await asyncio.sleep(5.0)
         assert_that(sum(fleet.network.sent_bytes.values()), Equals(before))
@@ -79,15 +80,15 @@
     with_instances(body, 20)
 
 
-def test_the_word_of_a_peer_puts_an_endpoint_behind_the_others_for_a_while(with_instances):
+def test_a_peer_s_report_ranks_an_endpoint_behind_the_others_for_a_while(with_instances):
     async def body(fleet):
         instance = fleet.instances[0]
-        told = ToldStatements(ONE, NO_RATE, leaves=True)
+        told = StatementReport(ONE, NO_RATE, leaves=True)
         instance.parts.sharing.merge(told, "10.0.0.9:1")
         assert_that(obstacle_at(instance), Is(Obstacle.SAID_TO_LEAVE))
         assert_that(len(registry_of(instance).candidates("model", ())), Equals(1))
         await asyncio.sleep(PEERS_WORD_S / 2)
-        # A peer that goes on telling does not keep it there.
+        # Repeated reports of a peer do not extend the time.
         instance.parts.sharing.merge(told, "10.0.0.9:1")
         await asyncio.sleep(PEERS_WORD_S / 2 + 0.1)
         assert_that(obstacle_at(instance), Is(None))
@@ -101,7 +102,7 @@
 def test_news_of_another_incarnation_changes_nothing(with_instances, other):
     async def body(fleet):
         instance = fleet.instances[0]
-        instance.parts.sharing.merge(ToldStatements(other, NO_RATE, leaves=True), "10.0.0.9:1")
+        instance.parts.sharing.merge(StatementReport(other, NO_RATE, leaves=True), "10.0.0.9:1")
         assert_that(obstacle_at(instance), Is(None))
         assert_that(registry_of(instance).statements.find(other), Is(None))
 
@@ -109,26 +110,26 @@
 
 
 def test_a_row_has_a_sixth_field_only_where_an_endpoint_leaves():
-    without = told_row(ToldStatements(ONE, NO_RATE), 1.0)
+    without = report_row(StatementReport(ONE, NO_RATE), 1.0)
     assert_that(without, Equals(["e0", None, None, 1.0, 1.0]))
-    with_it = told_row(ToldStatements(ONE, NO_RATE, leaves=True), 1.0)
+    with_it = report_row(StatementReport(ONE, NO_RATE, leaves=True), 1.0)
     assert_that(with_it, Equals([*without, 1]))
-    assert_that(read_told(with_it, 1.0).leaves, Is(True))
+    assert_that(read_report(with_it, 1.0).leaves, Is(True))
     assert_that(
-        [read_told([*without, each], 1.0).leaves for each in (0, None, "x")], Equals([False] * 3)
+        [read_report([*without, each], 1.0).leaves for each in (0, None, "x")], Equals([False] * 3)
     )
 
 
 def test_a_rest_is_told_to_the_others_as_a_hint(with_instances):
     async def body(fleet):
-        fleet.instances[0].parts.sharing.heard_rest(ONE, 3.0)
+        fleet.instances[0].parts.sharing.on_rest(ONE, 3.0)
         await asyncio.sleep(KNOWN_S)
         hinted = [obstacle_at(each) is Obstacle.RESTS_FROM_PEER for each in fleet.instances]
         assert_that(sum(hinted), Equals(20))
-        # The only endpoint is used all the same.
+        # It is the only endpoint, so it is used nevertheless.
         assert_that(len(registry_of(fleet.instances[5]).candidates("model", ())), Equals(1))
         sent = sum(fleet.network.sent_bytes.values())
-        fleet.instances[7].parts.sharing.heard_rest(ONE, 3.0)
+        fleet.instances[7].parts.sharing.on_rest(ONE, 3.0)
         await asyncio.sleep(3.0)
         assert_that(sum(fleet.network.sent_bytes.values()), Equals(sent))
         await asyncio.sleep(RETURN_SPREAD_S)
@@ -139,7 +140,7 @@
 
 def test_a_short_rest_is_not_told(with_instances):
     async def body(fleet):
-        fleet.instances[0].parts.sharing.heard_rest(ONE, 0.5)
+        fleet.instances[0].parts.sharing.on_rest(ONE, 0.5)
         await asyncio.sleep(1.0)
         assert_that(sum(fleet.network.sent_bytes.values()), Equals(0))
 
@@ -147,9 +148,9 @@
 
 
 def test_a_row_tells_what_is_left_of_a_rest():
-    row = told_row(ToldStatements(ONE, NO_RATE, rest_s=2.5), 1.0)
+    row = report_row(StatementReport(ONE, NO_RATE, rest_s=2.5), 1.0)
     assert_that(row, Equals(["e0", None, None, 1.0, 1.0, 0, 2.5]))
-    read = read_told(row, 1.0)
+    read = read_report(row, 1.0)
     assert_that((read.leaves, read.rest_s), Equals((False, 2.5)))
     with pytest.raises(ValueError):
-        read_told([*row[:6], "long"], 1.0)
+        read_report([*row[:6], "long"], 1.0)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits.py
@@ -1,8 +1,8 @@
-"""Asks the trial coordinator of a service whether a suspect request may be sent, or answers.
+"""Asks a trial coordinator whether a suspect request may be sent, and answers as coordinator.
 
-A question and its answer are one datagram each, and carry what either node knows of the request, so
-that the one that knows more decides. Without an answer in time the request waits: two coordinators
-that both grant would put a second endpoint at risk.
+A request and its reply are one datagram each. Both carry the sender's crash record of the suspect
+request, so that the node that knows more decides. Without a reply in time the request waits: two
+coordinators that both grant would put a second endpoint at risk.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class TrialPermits:
-    """Both sides of the question."""
+    """Client and coordinator side of trial requests."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         coordinators: TrialCoordinators,
         endpoint_count: Callable[[str], int],
     ) -> None:
-        """Keep the parts.
+        """Start without trials running.
 
         Args:
           endpoint_count: Returns how many endpoints of a service may get requests.
@@ -43,19 +43,19 @@
         self._datagrams: PeerDatagrams | None = None
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to ask and to answer."""
+        """Start sending and answering trial requests."""
         self._datagrams = datagrams
-        datagrams.handle(Kind.TRIAL_REQUEST, self._answer)
-        datagrams.handle(Kind.TRIAL_REPLY, self._take_reply)
-        datagrams.handle(Kind.TRIAL_ENDED, self._take_end)
+        datagrams.handle(Kind.TRIAL_REQUEST, self._handle_request)
+        datagrams.handle(Kind.TRIAL_REPLY, self._receive_reply)
+        datagrams.handle(Kind.TRIAL_ENDED, self._receive_end)
 
-    async def ask(
+    async def request(
         self, fingerprint: str, holder: str, service: str, endpoint_id: str, left_s: float
     ) -> Permission:
-        """Return whether a request may be sent to an endpoint now.
+        """Return whether a suspect request may be sent to an endpoint now; WAIT without a reply.
 
         Args:
-          holder: Names the try of the request, in the whole fleet.
+          holder: Id of the attempt, unique in the fleet.
           left_s: Seconds left to the request's deadline.
         """
         coordinators = self._coordinators.of(service)
@@ -64,26 +64,26 @@
         address = coordinators[0].peer_address
 
         def send(number: int) -> None:
-            told = self._told(fingerprint)
-            request = TrialRequest(number, holder, service, endpoint_id, left_s, told)
+            record = self._record(fingerprint)
+            request = TrialRequest(number, holder, service, endpoint_id, left_s, record)
             self._datagrams.send(Kind.TRIAL_REQUEST, crash_rows.request_row(request), [address])
 
-        reply = await self._pending.ask(send)
+        reply = await self._pending.request(send)
         if reply is None:
             return WAIT
         self._sharing.merge(reply.record)
         return reply.permission
 
     def end(self, fingerprint: str, holder: str, service: str) -> None:
-        """Note that a trial is over, with what it showed."""
+        """Report the end of a trial to the coordinator, with this node's crash record."""
         coordinators = self._coordinators.of(service)
         if not coordinators or self._coordinators.is_me(coordinators[0]):
             self._trials.ended(fingerprint, holder)
         elif self._datagrams is not None:
-            row = crash_rows.end_row(holder, self._told(fingerprint))
+            row = crash_rows.end_row(holder, self._record(fingerprint))
             self._datagrams.send(Kind.TRIAL_ENDED, row, [coordinators[0].peer_address])
 
-    def _told(self, fingerprint: str) -> ToldRecord:
+    def _record(self, fingerprint: str) -> ToldRecord:
         return self._records.told(fingerprint) or ToldRecord(fingerprint)
 
     def _decide(
@@ -92,24 +92,24 @@
         endpoints = self._endpoint_count(service)
         return self._trials.ask(fingerprint, holder, endpoint_id, left_s, endpoints)
 
-    def _answer(self, row: list, sender: str) -> None:
-        """Answer a node's question."""
+    def _handle_request(self, row: list, sender: str) -> None:
+        """Answer a peer's trial request."""
         request = crash_rows.read_request(row)
         self._sharing.merge(request.record)
         fingerprint = request.record.fingerprint
         permission = self._decide(
             fingerprint, request.holder, request.service, request.endpoint_id, request.left_s
         )
-        reply = TrialReply(request.number, permission, self._told(fingerprint))
+        reply = TrialReply(request.number, permission, self._record(fingerprint))
         self._datagrams.send(Kind.TRIAL_REPLY, crash_rows.reply_row(reply), [sender])
 
-    def _take_reply(self, row: list, sender: str) -> None:
-        """Hand a reply to the request that waits for it."""
+    def _receive_reply(self, row: list, sender: str) -> None:
+        """Pass a reply to the request that awaits it."""
         reply = crash_rows.read_reply(row)
-        self._pending.take(reply.number, reply)
+        self._pending.resolve(reply.number, reply)
 
-    def _take_end(self, row: list, sender: str) -> None:
-        """Note that a peer's trial is over."""
-        holder, told = crash_rows.read_end(row)
-        self._sharing.merge(told)
-        self._trials.ended(told.fingerprint, holder)
+    def _receive_end(self, row: list, sender: str) -> None:
+        """Record that a peer's trial has ended."""
+        holder, record = crash_rows.read_end(row)
+        self._sharing.merge(record)
+        self._trials.ended(record.fingerprint, holder)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits_test.py
@@ -1,4 +1,4 @@
-"""Tests of trial_permits.py: nodes ask one of them before they send a suspect."""
+"""Tests of trial_permits.py: a coordinator decides on trials of suspect requests."""
 
 import asyncio
 import itertools
@@ -18,7 +18,7 @@
 from springbridge_node.gateway.peers.trial_permits import TrialPermits
 
 NODES = 9
-# Of the tries of the request.
+# Numbers of the attempts.
 NUMBERS = itertools.count()
 SERVICE = "model"
 ENDPOINTS = 4
@@ -26,7 +26,7 @@
 
 @dataclass
 class Node:
-    """What a node has of crashes and trials."""
+    """The parts of a node that handle crash records and trials."""
 
     membership: Membership
     records: CrashRecords
@@ -34,16 +34,16 @@
     permits: TrialPermits
 
     def suspect(self, *crashes):
-        """Note that a request was part of crashes."""
+        """Record crashes of the request."""
         for crash in crashes:
             self.records.note_crash("cause", crash)
 
     async def ask(self, endpoint_id="i-1"):
-        """Ask for a trial."""
-        return await self.permits.ask("cause", self.holder(), SERVICE, endpoint_id, left_s=5.0)
+        """Request a trial."""
+        return await self.permits.request("cause", self.holder(), SERVICE, endpoint_id, left_s=5.0)
 
     def holder(self):
-        """Return a name for the next try."""
+        """Return the id of the next attempt."""
         return f"{self.membership.me.incarnation}/{next(NUMBERS)}"
 
 
@@ -90,7 +90,7 @@
         one, other = nodes[1], nodes[2]
         one.suspect(1, 2)
         other.suspect(1, 2)
-        held = await one.permits.ask("cause", "n/q", SERVICE, "i-1", left_s=5.0)
+        held = await one.permits.request("cause", "n/q", SERVICE, "i-1", left_s=5.0)
         assert_that(held.answer, Is(Answer.GRANTED))
         one.records.note_crash("cause", 3, on_trial=True)
         one.permits.end("cause", "n/q", SERVICE)
@@ -102,7 +102,7 @@
 
 def test_the_node_that_knows_more_decides(nodes):
     async def body():
-        # The coordinator has not heard of any crash; the question brings it what the asker knows.
+        # The coordinator knows of no crash; the trial request carries the sender's record.
         nodes[3].suspect(1, 2)
         assert_that((await nodes[3].ask()).answer, Is(Answer.GRANTED))
         assert_that((await nodes[3].ask()).answer, Is(Answer.WAIT))
@@ -114,7 +114,7 @@
 def test_the_coordinator_asks_itself(nodes):
     async def body():
         nodes[0].suspect(1, 2)
-        held = await nodes[0].permits.ask("cause", "n/q", SERVICE, "i-1", left_s=5.0)
+        held = await nodes[0].permits.request("cause", "n/q", SERVICE, "i-1", left_s=5.0)
         assert_that(held.answer, Is(Answer.GRANTED))
         assert_that((await nodes[0].ask()).answer, Is(Answer.WAIT))
         nodes[0].permits.end("cause", "n/q", SERVICE)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -99,7 +99,7 @@
 ) -> End:
     """Pass an answer on, or hold back a failure that another endpoint may do better."""
     if not exchange.route.streaming and exchange.progress.load is not None:
-        exchange.progress.load.read()
+        exchange.progress.load.prompt_read()
     if giving_up.holds_failure(exchange.route, head.status):
         exchange.progress.failure = HeldFailure(head, await read_whole(connection, head))
         return End.ENDPOINT_ERROR if verdict.statements.rest_s is None else End.ASKED_REST
--- a/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_selector.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_selector.py
@@ -42,12 +42,12 @@
           tried: Ids of the endpoints that no further attempt goes to.
           held_back: Ids of the endpoints whose rate is spent for this instance.
         """
-        if self._coordinators.includes_me(demand.service):
+        if self._coordinators.includes_self(demand.service):
             return select(self._registry, demand, tried, by_token_cost, held_back=held_back)
         # Without a prompt only the requests in flight count, so no coordinator is asked.
         if demand.prompt_parts:
             attempt_id = self._loads.new_attempt_id()
-            selection = await self._client.ask(demand, tried, attempt_id, held_back)
+            selection = await self._client.select(demand, tried, attempt_id, held_back)
             if selection is not None:
                 return selection
         return select(self._registry, demand, tried, by_shared_prompt, held_back=held_back)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
@@ -13,7 +13,7 @@
 from springbridge_node.gateway.callers.answer import CallerAnswer
 from springbridge_node.gateway.callers.ingress import IncomingRequest
 from springbridge_node.gateway.http.http_head import Head
-from springbridge_node.gateway.peers.load_sharing import SharedLoad
+from springbridge_node.gateway.peers.load_sharing import SharedAttempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
     last_piece_s: float = 0.0
     longest_pause_s: float = 0.0
     failure: HeldFailure | None = None
-    load: SharedLoad | None = None
+    load: SharedAttempt | None = None
     avoided: set[str] = field(default_factory=set)
     on_trial: bool = False
     held_since_s: float = 0.0
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
@@ -114,7 +114,7 @@
         left_s = exchange.admitted.deadline_s - clock.now_s()
         service = exchange.demand.service
         try:
-            permission = await self._parts.permits.ask(
+            permission = await self._parts.permits.request(
                 fingerprint, trial, service, endpoint_id, left_s
             )
         except asyncio.CancelledError:
@@ -188,7 +188,7 @@
         if not self._records.acquit(fingerprint):
             return
         was_known = before.standing is not Standing.FREE
-        self._parts.sharing.spread(fingerprint, exchange.demand.service, was_known)
+        self._parts.sharing.share(fingerprint, exchange.demand.service, was_known)
         self._refused_until_s.pop(fingerprint, None)
         if was_known:
             self._parts.log.acquitted(exchange, before)
@@ -202,7 +202,7 @@
         crash = crash_id(entry.endpoint_id, entry.born_ms)
         if not self._records.note_crash(fingerprint, crash, on_trial):
             return
-        self._parts.sharing.spread(fingerprint, exchange.demand.service)
+        self._parts.sharing.share(fingerprint, exchange.demand.service)
         found = self._parts.quarantine.verdict(fingerprint)
         self._parts.log.crashed(exchange, entry.endpoint_id, found, on_trial)
         if found.standing is Standing.QUARANTINED:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
@@ -29,7 +29,7 @@
         self.hangs = False
         self.asked, self.ended, self.stored, self.told = [], [], [], []
 
-    async def ask(self, fingerprint, trial, service, endpoint_id, left_s):
+    async def request(self, fingerprint, trial, service, endpoint_id, left_s):
         """Answer as the coordinator would."""
         self.asked.append(trial)
         if self.hangs:
@@ -40,7 +40,7 @@
         """Take in the end of a trial."""
         self.ended.append(trial)
 
-    def spread(self, fingerprint, service, was_known=False):
+    def share(self, fingerprint, service, was_known=False):
         """Take in what is told to the peers."""
         self.told.append(fingerprint)
 
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_parts.py
@@ -78,4 +78,4 @@
     def _adopt(self, told: ToldRecord) -> None:
         """Take in a record of the store and tell peers of it."""
         self._records.merge(told)
-        self.sharing.spread(told.fingerprint, "", was_known=True)
+        self.sharing.share(told.fingerprint, "", was_known=True)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
@@ -80,7 +80,7 @@
             self._held.hold(entry.endpoint_id, priority, NOT_ANSWERED_S)
             return False
         began_s = parts.clock()
-        grant = await parts.permits.ask(entry, priority, left_s)
+        grant = await parts.permits.request(entry, priority, left_s)
         progress.permit_wait_s += parts.clock() - began_s
         parts.log.asked(exchange, entry, grant)
         if grant is None:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
@@ -14,7 +14,7 @@
 
 from springbridge_node.gateway.peers.peer_builds import FIRST_HEARTBEAT_WITH_LOOKUPS
 from springbridge_node.gateway.peers.rate_permits import SETTLE_S
-from springbridge_node.gateway.peers.statement_sharing import NEWS_S
+from springbridge_node.gateway.peers.statement_sharing import RESEND_S
 from springbridge_node.gateway.requests.rate_gate import LONGEST_ASKING_S
 
 # Seconds within which every instance has to know of a rate.
@@ -80,7 +80,7 @@
     async def body(fleet):
         await name_rate(fleet, 2.0)
         # Until only the granter tells of it.
-        await asyncio.sleep(NEWS_S + 1.0)
+        await asyncio.sleep(RESEND_S + 1.0)
         started = next(n for n in range(87) if n != granter_of(fleet))
         fleet.restart(started, 0.5)
         await asyncio.sleep(2.0)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
@@ -75,7 +75,7 @@
     async for piece in connection.read_body(head):
         events = splitter.feed(piece)
         if events and progress.load is not None:
-            progress.load.read()
+            progress.load.prompt_read()
         fresh = [event for event in events if _is_fresh(progress, event.event_id)]
         if fresh:
             await _pass_on(exchange, head, codec, b"".join(event.raw for event in fresh))
@@ -116,5 +116,5 @@
         headers["Content-Length"] = str(length)
     exchange.progress.piece_passed_on(clock.now_s())
     if exchange.progress.load is not None:
-        exchange.progress.load.read()
+        exchange.progress.load.prompt_read()
     await exchange.answer.start(head.status, head.reason, headers, piece)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
@@ -50,7 +50,7 @@
             self._registry.statements.asked_no_rest(entry.incarnation, sent_s)
         else:
             rest = self._registry.statements.asked_rest(entry.incarnation, said.rest_s)
-            self._sharing.heard_rest(entry.incarnation, said.rest_s)
+            self._sharing.on_rest(entry.incarnation, said.rest_s)
             self._log.asks_rest(entry, request_id, said.rest_s, rest.until_s - self._clock())
 
     def _heard_rate(self, entry: EndpointEntry, stated: StatedRate, sent_s: float) -> None:
@@ -59,10 +59,10 @@
             return
         if is_readable(stated):
             told = Statement(rate_of(stated), sent_s, self._clock())
-            self._sharing.heard(entry.incarnation, told)
+            self._sharing.on_statement(entry.incarnation, told)
 
     def _heard_leaving(self, entry: EndpointEntry, request_id: str) -> None:
         """Note that an endpoint leaves."""
         if self._registry.heard_leaving(entry.incarnation):
             log_leaving(entry.endpoint_id, ANSWER, request_id)
-            self._sharing.heard_leaving(entry.incarnation)
+            self._sharing.on_leaving(entry.incarnation)
--- a/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news.py
@@ -11,7 +11,7 @@
 from springbridge.crash_records import CrashRecords
 from springbridge.quarantine import Quarantine, Standing
 from springbridge_node.gateway.peers.crash_sharing import CrashSharing
-from springbridge_node.gateway.peers.heartbeats import BEAT_S
+from springbridge_node.gateway.peers.heartbeats import HEARTBEAT_INTERVAL_S
 from springbridge_node.gateway.peers.trial_coordination import TrialCoordinators
 
 from springbridge_standins.gateway.simulated_fleet import SimulatedClock, SimulatedFleet
@@ -60,12 +60,12 @@
         """Let a node that is drawn see the end of an endpoint."""
         node = self.nodes[self._rng.choice(list(self.nodes))]
         node.records.note_crash(fingerprint, crash, on_trial)
-        node.sharing.spread(fingerprint, SERVICE)
+        node.sharing.share(fingerprint, SERVICE)
 
     def run(self, seconds: float) -> None:
         """Let time pass in steps of one beat of all nodes."""
-        for _ in range(round(seconds / BEAT_S)):
-            self.fleet.run(BEAT_S)
+        for _ in range(round(seconds / HEARTBEAT_INTERVAL_S)):
+            self.fleet.run(HEARTBEAT_INTERVAL_S)
             for node in self.nodes.values():
                 asyncio.run(node.sharing.beat())
 
@@ -73,7 +73,7 @@
         """Return after how many seconds all nodes hold a request back."""
         begun_s = self._clock.now_s
         while not self.all_know(fingerprint) and self._clock.now_s < begun_s + LONGEST_S:
-            self.run(BEAT_S)
+            self.run(HEARTBEAT_INTERVAL_S)
         return self._clock.now_s - begun_s
 
     def all_know(self, fingerprint: str) -> bool:
--- a/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news_test.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news_test.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from springbridge_node.gateway.peers.heartbeats import BEAT_S
+from springbridge_node.gateway.peers.heartbeats import HEARTBEAT_INTERVAL_S
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is, LessThan
 
@@ -32,9 +32,9 @@
 def test_all_nodes_know_a_suspect_within_a_second(play, size):
     def body(news):
         news.crash("cause", 1)
-        news.run(BEAT_S)
+        news.run(HEARTBEAT_INTERVAL_S)
         news.crash("cause", 2)
-        assert_that(news.seconds_to_know("cause"), LessThan(KNOWN_S + BEAT_S / 2))
+        assert_that(news.seconds_to_know("cause"), LessThan(KNOWN_S + HEARTBEAT_INTERVAL_S / 2))
 
     play(body, size)
 
@@ -42,7 +42,7 @@
 def test_a_request_with_one_crash_is_told_to_few(play):
     def body(news):
         news.crash("once", 1)
-        news.run(4 * BEAT_S)
+        news.run(4 * HEARTBEAT_INTERVAL_S)
         told = sum(node.records.find("once") is not None for node in news.nodes.values())
         assert_that(told, LessThan(4))
 
@@ -56,8 +56,8 @@
         news.seconds_to_know("page")
         node = news.nodes[5]
         node.records.acquit("page")
-        node.sharing.spread("page", "model", was_known=True)
-        news.run(4 * BEAT_S)
+        node.sharing.share("page", "model", was_known=True)
+        news.run(4 * HEARTBEAT_INTERVAL_S)
         held = sum(each.knows("page") for each in news.nodes.values())
         assert_that(held, Equals(0))
 
@@ -71,7 +71,7 @@
         news.run(3.0)
         news.fleet.restart(7)
         news.nodes[7] = news.join(7)
-        news.run(4 * BEAT_S)
+        news.run(4 * HEARTBEAT_INTERVAL_S)
         assert_that(news.nodes[7].knows("cause"), Is(True))
 
     play(body, 78)
--- a/packages/springbridge-standins/springbridge_standins/gateway/simulated_fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/simulated_fleet.py
@@ -17,7 +17,7 @@
 from springbridge_node import clock
 from springbridge_node.gateway.peers.datagrams import Kind
 from springbridge_node.gateway.peers.gossip import Gossip
-from springbridge_node.gateway.peers.heartbeats import BEAT_S
+from springbridge_node.gateway.peers.heartbeats import HEARTBEAT_INTERVAL_S
 from springbridge_node.gateway.peers.own_member import PACE, new_member
 
 FAILURE_DOMAINS = ("a", "b", "c", "d", "e")
@@ -121,7 +121,7 @@
 
 
 class SimulatedFleet:
-    """Nodes that beat in turn, each once in BEAT_S.
+    """Nodes that beat in turn, each once in HEARTBEAT_INTERVAL_S.
 
     Attributes:
       nodes: The running nodes by their number.
@@ -154,10 +154,10 @@
 
     def run(self, seconds: float) -> None:
         """Let time pass in steps of one node's turn."""
-        for _ in range(round(seconds / BEAT_S)):
+        for _ in range(round(seconds / HEARTBEAT_INTERVAL_S)):
             start_s = process_time()
             for number in range(self.size):
-                self._clock.now_s += BEAT_S / self.size
+                self._clock.now_s += HEARTBEAT_INTERVAL_S / self.size
                 if number in self.nodes:
                     _beat(self.nodes[number])
             self.processor_s += process_time() - start_s
@@ -176,7 +176,7 @@
         self.power_off(number)
         off_s = self._clock.now_s
         while self._names(number) and self._clock.now_s < off_s + LONGEST_NAMED_S:
-            self.run(BEAT_S)
+            self.run(HEARTBEAT_INTERVAL_S)
         return self._clock.now_s - off_s
 
     def _names(self, number: int) -> bool:
--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -142,14 +142,14 @@
         f"{NODE}/gateway/peers/selection_client.py",
         "            self._coordinators.avoid(address)\n",
         "",
-        f"{SELECTION_CLIENT}::test_a_silent_scheduler_is_left_out_and_the_next_one_asked",
+        f"{SELECTION_CLIENT}::test_a_silent_coordinator_is_skipped_and_the_next_one_asked",
     ),
     Mutant(
         "the asker's own belief of an engine counts",
         f"{NODE}/gateway/peers/selection_client.py",
         "usable = self._registry.candidates(demand.service, {*tried, *held_back})",
         "usable = list(self._registry._states.values()) or [None]",
-        f"{SELECTION_CLIENT}::test_an_engine_that_the_asker_may_not_use_is_not_taken",
+        f"{SELECTION_CLIENT}::test_an_endpoint_that_the_client_may_not_use_is_not_taken",
     ),
     Mutant(
         "the least urgent are refused first",
@@ -198,7 +198,7 @@
     Mutant(
         "crashes that other nodes saw count",
         f"{NODE}/gateway/peers/crash_sharing.py",
-        "        datagrams.handle(Kind.CRASHES, self._take)",
+        "        datagrams.handle(Kind.CRASHES, self._receive)",
         "        datagrams.handle(Kind.CRASHES, lambda rows, sender: None)",
         f"{NEWS}::test_all_nodes_know_a_suspect_within_a_second",
     ),
--- a/packages/springbridge-standins/springbridge_standins/mutants/rate_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/rate_mutants.py
@@ -111,14 +111,14 @@
     Mutant(
         "permits: a substitute is asked while the granter is silent",
         f"{NODE}/gateway/peers/rate_permits.py",
-        "self._granters.silent(granter)",
+        "self._granters.mark_silent(granter)",
         "pass",
         PARTS,
     ),
     Mutant(
         "news of rates: all are told at once",
         f"{NODE}/gateway/peers/statement_sharing.py",
-        "self._send([incarnation], self._pushed_peers())\n        else:",
+        "self._send([incarnation], self._push_targets())\n        else:",
         "pass\n        else:",
         PARTS,
     ),
--- a/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
@@ -39,7 +39,7 @@
     Mutant(
         "leaving: peers are told",
         f"{NODE}/gateway/requests/statement_watch.py",
-        "            self._sharing.heard_leaving(entry.incarnation)\n",
+        "            self._sharing.on_leaving(entry.incarnation)\n",
         "",
         f"{LEAVING}::test_one_answer_tells_all_nodes_while_the_store_is_out",
     ),
--- a/packages/springbridge-standins/springbridge_standins/rates/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/fleet.py
@@ -13,7 +13,7 @@
 from springbridge.membership import Member
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.records import Demand, EndpointEntry, EndpointSnapshot
-from springbridge_node.gateway.peers.heartbeats import BEAT_S
+from springbridge_node.gateway.peers.heartbeats import HEARTBEAT_INTERVAL_S
 from springbridge_node.gateway.peers.peer_builds import FIRST_HEARTBEAT
 from springbridge_node.gateway.requests.rate_parts import RateParts
 from springbridge_node.gateway.telemetry import Telemetry
@@ -94,7 +94,7 @@
 
     async def _beat(self) -> None:
         while True:
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             await self._thawed()
             await self.parts.sharing.beat()
 
