--- a/packages/springbridge-node/springbridge_node/gateway/peers/conftest.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/conftest.py
@@ -29,13 +29,13 @@
     """A network that delivers datagrams at once, except to addresses in `silent`.
 
     Attributes:
-      asked: The receivers of selection requests, in order.
+      requested: The receivers of selection requests, in order.
     """
 
     def __init__(self):
         self.ends = {}
         self.silent = set()
-        self.asked = []
+        self.requested = []
 
     def end(self, address):
         """Return the socket of a node with an address."""
@@ -55,7 +55,7 @@
         """Pass rows to the receivers' handlers directly."""
         for address in peer_addresses:
             if kind is Kind.SELECTION_REQUEST:
-                self._wire.asked.append(address)
+                self._wire.requested.append(address)
             if address in self._wire.ends and address not in self._wire.silent:
                 self._wire.ends[address]._handlers[int(kind)](rows, self._address)
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/coordinator_set.py
@@ -14,7 +14,7 @@
 
 # Largest fleet in which every node is a coordinator: each sends its load notices to all others. At
 # this size each step of a request costs 16 datagrams.
-MAX_ALL_COORDINATORS_NODES = 17
+MAX_FULL_MESH_NODES = 17
 # Seconds for which the roles are cached, equal to the heartbeat interval. Computing them costs
 # 1.4 us for each member, and without the cache every request would do it.
 ROLES_CACHE_S = 0.25
@@ -26,7 +26,7 @@
 class CoordinatorSet:
     """The coordinators of the fleet as this node sees them.
 
-    In a fleet of up to MAX_ALL_COORDINATORS_NODES nodes each is a coordinator; in a larger one a
+    In a fleet of up to MAX_FULL_MESH_NODES nodes each is a coordinator; in a larger one a
     few nodes are, chosen for each service.
     """
 
@@ -81,7 +81,7 @@
         if now_s - self._refreshed_s < ROLES_CACHE_S:
             return
         self._refreshed_s = now_s
-        self._all_coordinators = self._membership.live_count() <= MAX_ALL_COORDINATORS_NODES
+        self._all_coordinators = self._membership.live_count() <= MAX_FULL_MESH_NODES
         self._by_service = {}
         self._avoided_until_s = {
             address: until_s
--- a/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing.py
@@ -41,7 +41,7 @@
         """Start without evacuations.
 
         Args:
-          changed: Called after the set of evacuated domains in the registry has changed.
+          on_change: Called after the set of evacuated domains in the registry has changed.
         """
         self._membership = membership
         self._registry = registry
--- a/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/evacuation_sharing_test.py
@@ -33,7 +33,7 @@
     return SimpleNamespace(nodes=nodes, members=members, wire=wire, clock=clock)
 
 
-def asked(*domains):
+def evacuating(*domains):
     """Return store data by which exactly these domains are evacuated."""
     return EvacuationNews(True, tuple((domain, True) for domain in domains))
 
@@ -51,27 +51,27 @@
             await node.beat()
 
 
-def test_all_know_at_once_what_one_has_read(fleet):
-    fleet.nodes[0].apply_store(10, asked("a"))
+def test_all_nodes_know_at_once_what_one_reads_from_the_store(fleet):
+    fleet.nodes[0].apply_store(10, evacuating("a"))
     assert_that(known(fleet), Equals({("a",)}))
-    fleet.nodes[3].apply_store(11, asked())
+    fleet.nodes[3].apply_store(11, evacuating())
     assert_that(known(fleet), Equals({()}))
 
 
 def test_a_node_that_was_cut_off_learns_it_at_a_beat(fleet):
     cut = fleet.members[5].peer_address
     fleet.wire.silent.add(cut)
-    fleet.nodes[0].apply_store(10, asked("a"))
+    fleet.nodes[0].apply_store(10, evacuating("a"))
     assert_that(known(fleet), Equals({("a",), ()}))
     fleet.wire.silent.clear()
     asyncio.run(beat(fleet, 8))
     assert_that(known(fleet), Equals({("a",)}))
 
 
-def test_a_node_that_missed_the_end_is_told_in_answer_to_what_it_tells(fleet):
-    fleet.nodes[0].apply_store(10, asked("a"))
+def test_a_node_that_missed_the_end_gets_it_in_reply_to_its_own_reading(fleet):
+    fleet.nodes[0].apply_store(10, evacuating("a"))
     fleet.wire.silent.add(fleet.members[5].peer_address)
-    fleet.nodes[0].apply_store(11, asked())
+    fleet.nodes[0].apply_store(11, evacuating())
     fleet.clock.now_s += END_RESEND_S + 1.0
     fleet.wire.silent.clear()
     for member in fleet.members:
@@ -81,10 +81,10 @@
     assert_that(known(fleet), Equals({()}))
 
 
-def test_nothing_is_sent_while_nothing_was_asked(fleet):
+def test_nothing_is_sent_before_the_first_evacuation(fleet):
     sent = []
     for node in fleet.nodes:
         node._datagrams.send = lambda *args: sent.append(args)
-    fleet.nodes[0].apply_store(10, asked())
+    fleet.nodes[0].apply_store(10, evacuating())
     asyncio.run(beat(fleet, 4))
     assert_that(sent, HasLength(0))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/gossip_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/gossip_test.py
@@ -90,9 +90,9 @@
 def test_a_late_heartbeat_of_a_third_node_is_no_sign_of_life(gossip, membership, sent, clock):
     clock.now_s += 1.0
     late = codec.state_row(member("new", heartbeat=FIRST_HEARTBEAT + 9))
-    teller = codec.member_row(member("teller"))
+    sender_row = codec.member_row(member("teller"))
     ages = [age_vector.HeartbeatAge("new", 1.1), age_vector.HeartbeatAge("old", 0.1)]
-    sent.handlers[Kind.AGED_DIGEST]([age_vector.encode(ages), teller, late], "")
+    sent.handlers[Kind.AGED_DIGEST]([age_vector.encode(ages), sender_row, late], "")
     assert_that(names(membership), Equals(["me", "new", "old", "teller"]))
     clock.now_s += 0.3
     assert_that(names(membership), Equals(["me", "old", "teller"]))
@@ -114,14 +114,14 @@
 
 def test_ages_of_members_that_are_not_known_are_passed_over(gossip, membership, sent):
     ages = [age_vector.HeartbeatAge("stranger", 0.1)]
-    teller = codec.member_row(member("teller"))
-    sent.handlers[Kind.AGED_DIGEST]([age_vector.encode(ages), teller], "")
+    sender_row = codec.member_row(member("teller"))
+    sent.handlers[Kind.AGED_DIGEST]([age_vector.encode(ages), sender_row], "")
     assert_that(names(membership), Equals(["me", "new", "old", "teller"]))
 
 
 def test_a_member_forgotten_long_ago_leaves_nothing_behind(gossip, membership, sent, clock):
-    teller = codec.member_row(member("teller"))
-    sent.handlers[Kind.AGED_DIGEST](["", teller], "")
+    sender_row = codec.member_row(member("teller"))
+    sent.handlers[Kind.AGED_DIGEST](["", sender_row], "")
     clock.now_s += 100.0
     membership.forget_old()
     gossip.forget_gone()
--- a/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing.py
@@ -72,7 +72,7 @@
         Args:
           incarnation: This node's incarnation, part of the ids of its attempts.
           receivers: Returns the peer addresses that get the notices for a service.
-          received: Called with each notice from a peer, before the registry takes it.
+          on_notice: Called with each notice from a peer, before the registry takes it.
         """
         self._registry = registry
         self._incarnation = incarnation
--- a/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/load_sharing_test.py
@@ -14,7 +14,7 @@
 from testtools.matchers import Equals, HasLength
 
 from springbridge_node.gateway.peers.coordinator_set import (
-    MAX_ALL_COORDINATORS_NODES,
+    MAX_FULL_MESH_NODES,
     CoordinatorSet,
 )
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
@@ -69,7 +69,7 @@
     assert_that((during, after), Equals((1, 0)))
 
 
-@pytest.mark.parametrize("peers", [MAX_ALL_COORDINATORS_NODES, 40])
+@pytest.mark.parametrize("peers", [MAX_FULL_MESH_NODES, 40])
 def test_in_a_large_fleet_only_coordinators_get_notices(peers):
     sent, during, after, membership = play(peers)
     expected = {
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_log_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_log_test.py
@@ -46,8 +46,8 @@
         ("member.silent", 1300, "p"),
         ("member.heard", 0, "third"),
     ]
-    told = [(name, fields["heard_ms_ago"], fields["told_by"]) for name, fields in lines]
-    assert_that(told, Equals(expected))
+    logged = [(name, fields["heard_ms_ago"], fields["told_by"]) for name, fields in lines]
+    assert_that(logged, Equals(expected))
 
 
 def test_a_member_that_leaves_is_not_called_silent(membership, lines):
@@ -79,13 +79,13 @@
     member_log.check()
     membership.merge(fleet(MAX_SINGLE_LINES + 1, heartbeat=2), told_by="p")
     member_log.check()
-    told = [(name, fields["change"], fields["oldest_ms_ago"]) for name, fields in lines]
+    logged = [(name, fields["change"], fields["oldest_ms_ago"]) for name, fields in lines]
     expected = [
         ("members.changed", "joined", 0),
         ("members.changed", "silent", 1300),
         ("members.changed", "heard", 0),
     ]
-    assert_that(told, Equals(expected))
+    assert_that(logged, Equals(expected))
     instances = {f"peer-{each}" for each in range(MAX_SINGLE_LINES + 1)}
     assert_that([set(fields["instances"]) for _, fields in lines], Equals([instances] * 3))
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/member_lookup_test.py
@@ -19,7 +19,7 @@
 )
 from springbridge_node.gateway.peers.peer_builds import FIRST_HEARTBEAT, FIRST_HEARTBEAT_WITH_AGES
 
-TELLER = "10.0.0.9:7000"
+SENDER = "10.0.0.9:7000"
 
 
 def member(name, heartbeat=FIRST_HEARTBEAT):
@@ -68,17 +68,17 @@
 def take_digest(sent, names, heartbeat=FIRST_HEARTBEAT):
     """Deliver a digest whose ages name some members."""
     ages = [HeartbeatAge(name, 0.1) for name in names]
-    teller = codec.member_row(member("teller", heartbeat))
-    sent.handlers[Kind.AGED_DIGEST]([age_vector.encode(ages), teller], TELLER)
+    sender_row = codec.member_row(member("teller", heartbeat))
+    sent.handlers[Kind.AGED_DIGEST]([age_vector.encode(ages), sender_row], SENDER)
 
 
 def keys(names):
     return [age_vector.key_of(name) for name in names]
 
 
-def test_members_that_only_ages_name_are_asked_for_at_their_teller(gossip, sent):
+def test_members_that_only_ages_name_are_requested_from_the_sender(gossip, sent):
     take_digest(sent, ["x", "y", "me"])
-    assert_that(sent.of(Kind.MEMBERS_REQUEST), Equals([(keys(["x", "y"]), [TELLER])]))
+    assert_that(sent.of(Kind.MEMBERS_REQUEST), Equals([(keys(["x", "y"]), [SENDER])]))
 
 
 def test_a_request_is_repeated_after_a_while_and_not_before(gossip, sent, clock):
@@ -103,14 +103,14 @@
     assert_that(sent.of(Kind.MEMBERS_REQUEST), Equals([]))
 
 
-def test_a_peer_is_told_whole_rows_of_the_members_that_it_asks_for(gossip, membership, sent):
+def test_a_peer_gets_full_rows_of_the_members_that_it_requests(gossip, membership, sent):
     membership.merge([member(f"x{number}") for number in range(MEMBERS_PER_DATAGRAM + 2)])
-    asked = keys([*(f"x{number}" for number in range(MEMBERS_PER_DATAGRAM + 1)), "stranger"])
-    sent.handlers[Kind.MEMBERS_REQUEST](asked, TELLER)
-    told = sent.of(Kind.AGED_DIGEST)
-    assert_that([len(rows) - 2 for rows, _ in told], Equals([MEMBERS_PER_DATAGRAM, 1]))
-    assert_that({receivers[0] for _, receivers in told}, Equals({TELLER}))
-    read = [codec.read_member(row, lambda name: None) for rows, _ in told for row in rows[1:]]
+    requested = keys([*(f"x{number}" for number in range(MEMBERS_PER_DATAGRAM + 1)), "stranger"])
+    sent.handlers[Kind.MEMBERS_REQUEST](requested, SENDER)
+    replies = sent.of(Kind.AGED_DIGEST)
+    assert_that([len(rows) - 2 for rows, _ in replies], Equals([MEMBERS_PER_DATAGRAM, 1]))
+    assert_that({receivers[0] for _, receivers in replies}, Equals({SENDER}))
+    read = [codec.read_member(row, lambda name: None) for rows, _ in replies for row in rows[1:]]
     named = {each.incarnation for each in read}
     assert_that(
         named, Equals({"me", *(f"x{number}" for number in range(MEMBERS_PER_DATAGRAM + 1))})
@@ -118,29 +118,29 @@
 
 
 def test_a_node_that_is_asked_for_itself_answers(gossip, sent):
-    sent.handlers[Kind.MEMBERS_REQUEST](keys(["me"]), TELLER)
+    sent.handlers[Kind.MEMBERS_REQUEST](keys(["me"]), SENDER)
     ((rows, receivers),) = sent.of(Kind.AGED_DIGEST)
     assert_that(rows[1], Equals(codec.member_row(member("me"))))
 
 
-def test_a_sender_that_only_tells_its_state_is_asked_who_it_is(gossip, sent):
-    teller = codec.state_row(member("teller"))
-    sent.handlers[Kind.AGED_DIGEST](["", teller], TELLER)
-    assert_that(sent.of(Kind.MEMBERS_REQUEST), Equals([(keys(["teller"]), [TELLER])]))
+def test_a_sender_known_by_a_state_row_only_is_requested_itself(gossip, sent):
+    sender_row = codec.state_row(member("teller"))
+    sent.handlers[Kind.AGED_DIGEST](["", sender_row], SENDER)
+    assert_that(sent.of(Kind.MEMBERS_REQUEST), Equals([(keys(["teller"]), [SENDER])]))
 
 
 def test_a_new_sender_gets_a_digest_at_once_and_a_known_one_does_not(gossip, sent):
     take_digest(sent, [])
-    assert_that([receivers for _, receivers in sent.of(Kind.AGED_DIGEST)], Equals([[TELLER]]))
+    assert_that([receivers for _, receivers in sent.of(Kind.AGED_DIGEST)], Equals([[SENDER]]))
     take_digest(sent, [])
     assert_that(sent.of(Kind.AGED_DIGEST), HasLength(1))
 
 
-def test_a_node_that_is_not_ready_tells_nobody_of_itself(membership, sent):
+def test_a_node_that_is_not_ready_sends_its_row_to_nobody(membership, sent):
     # Otherwise peers would send callers to it.
     Gossip(membership, sent, lambda: None, may_announce=lambda: False)
     membership.merge([member("x")])
     take_digest(sent, ["y"])
-    sent.handlers[Kind.MEMBERS_REQUEST](keys(["me", "x"]), TELLER)
+    sent.handlers[Kind.MEMBERS_REQUEST](keys(["me", "x"]), SENDER)
     assert_that(sent.of(Kind.AGED_DIGEST), Equals([]))
-    assert_that(sent.of(Kind.MEMBERS_REQUEST), Equals([(keys(["y"]), [TELLER])]))
+    assert_that(sent.of(Kind.MEMBERS_REQUEST), Equals([(keys(["y"]), [SENDER])]))
--- a/packages/springbridge-node/springbridge_node/gateway/peers/selection_client_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/selection_client_test.py
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture
-def ask(wire, fleet, clock, demand, make_registry):
+def select(wire, fleet, clock, demand, make_registry):
     """Return a function that sends requests in turn, with a server at each coordinator."""
 
     def play(times=1):
@@ -43,26 +43,26 @@
     return [member.peer_address for member in ordered]
 
 
-def test_a_coordinator_selects_an_endpoint_under_the_client_s_attempt_id(fleet, ask):
-    (selection,) = ask()
+def test_a_coordinator_selects_an_endpoint_under_the_client_s_attempt_id(fleet, select):
+    (selection,) = select()
     assert_that(selection.choice.attempt_id, Equals("me/0"))
     assert_that(selection.choice.coordinator, Equals(first_coordinators(fleet)[0]))
 
 
-def test_a_silent_coordinator_is_skipped_and_the_next_one_asked(fleet, wire, ask):
+def test_a_silent_coordinator_is_skipped_and_the_next_one_asked(fleet, wire, select):
     first, second, *_ = first_coordinators(fleet)
     wire.silent = {first}
-    unanswered, answered = ask(times=2)
+    unanswered, answered = select(times=2)
     assert_that(unanswered, Is(None))
     assert_that(answered, Not(Is(None)))
-    assert_that(wire.asked, Equals([first, second]))
+    assert_that(wire.requested, Equals([first, second]))
 
 
-def test_with_all_coordinators_silent_the_node_selects_by_itself(fleet, wire, ask):
+def test_with_all_coordinators_silent_the_node_selects_by_itself(fleet, wire, select):
     wire.silent = set(first_coordinators(fleet))
-    answers = ask(times=7)
+    answers = select(times=7)
     assert_that(answers, Equals([None] * 7))
-    assert_that(len(wire.asked), Equals(6))
+    assert_that(len(wire.requested), Equals(6))
 
 
 def test_an_endpoint_that_the_client_may_not_use_is_not_taken(
--- a/packages/springbridge-node/springbridge_node/gateway/peers/statement_sharing_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/statement_sharing_test.py
@@ -69,7 +69,7 @@
     with_instances(body, 20)
 
 
-def test_an_instance_that_starts_is_told_who_leaves(with_instances):
+def test_an_instance_that_starts_gets_reports_of_endpoints_that_leave(with_instances):
     async def body(fleet):
         for instance in fleet.instances:
             registry_of(instance).heard_leaving(ONE)
@@ -83,13 +83,13 @@
 def test_a_peer_s_report_ranks_an_endpoint_behind_the_others_for_a_while(with_instances):
     async def body(fleet):
         instance = fleet.instances[0]
-        told = StatementReport(ONE, NO_RATE, leaves=True)
-        instance.parts.sharing.merge(told, "10.0.0.9:1")
+        report = StatementReport(ONE, NO_RATE, leaves=True)
+        instance.parts.sharing.merge(report, "10.0.0.9:1")
         assert_that(obstacle_at(instance), Is(Obstacle.SAID_TO_LEAVE))
         assert_that(len(registry_of(instance).candidates("model", ())), Equals(1))
         await asyncio.sleep(PEERS_WORD_S / 2)
         # Repeated reports of a peer do not extend the time.
-        instance.parts.sharing.merge(told, "10.0.0.9:1")
+        instance.parts.sharing.merge(report, "10.0.0.9:1")
         await asyncio.sleep(PEERS_WORD_S / 2 + 0.1)
         assert_that(obstacle_at(instance), Is(None))
 
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(
     "other", [EndpointIncarnation("e0", 77), EndpointIncarnation("not-listed", None)]
 )
-def test_news_of_another_incarnation_changes_nothing(with_instances, other):
+def test_a_report_on_another_incarnation_changes_nothing(with_instances, other):
     async def body(fleet):
         instance = fleet.instances[0]
         instance.parts.sharing.merge(StatementReport(other, NO_RATE, leaves=True), "10.0.0.9:1")
@@ -120,7 +120,7 @@
     )
 
 
-def test_a_rest_is_told_to_the_others_as_a_hint(with_instances):
+def test_a_rest_is_sent_to_the_others_as_a_hint(with_instances):
     async def body(fleet):
         fleet.instances[0].parts.sharing.on_rest(ONE, 3.0)
         await asyncio.sleep(KNOWN_S)
@@ -138,7 +138,7 @@
     with_instances(body, 20)
 
 
-def test_a_short_rest_is_not_told(with_instances):
+def test_a_short_rest_is_not_sent(with_instances):
     async def body(fleet):
         fleet.instances[0].parts.sharing.on_rest(ONE, 0.5)
         await asyncio.sleep(1.0)
@@ -147,7 +147,7 @@
     with_instances(body, 8)
 
 
-def test_a_row_tells_what_is_left_of_a_rest():
+def test_a_row_has_the_remaining_seconds_of_a_rest():
     row = report_row(StatementReport(ONE, NO_RATE, rest_s=2.5), 1.0)
     assert_that(row, Equals(["e0", None, None, 1.0, 1.0, 0, 2.5]))
     read = read_report(row, 1.0)
--- a/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/trial_permits_test.py
@@ -38,7 +38,7 @@
         for crash in crashes:
             self.records.note_crash("cause", crash)
 
-    async def ask(self, endpoint_id="i-1"):
+    async def request(self, endpoint_id="i-1"):
         """Request a trial."""
         return await self.permits.request("cause", self.holder(), SERVICE, endpoint_id, left_s=5.0)
 
@@ -78,14 +78,14 @@
     async def body():
         for node in nodes:
             node.suspect(1, 2)
-        found = await asyncio.gather(*(node.ask() for node in nodes))
+        found = await asyncio.gather(*(node.request() for node in nodes))
         granted = [each for each in found if each.answer is Answer.GRANTED]
         assert_that(granted, HasLength(1))
 
     asyncio.run(body())
 
 
-def test_the_end_of_a_trial_frees_the_place_and_tells_what_it_showed(nodes):
+def test_the_end_of_a_trial_releases_it_and_shares_its_outcome(nodes):
     async def body():
         one, other = nodes[1], nodes[2]
         one.suspect(1, 2)
@@ -94,7 +94,7 @@
         assert_that(held.answer, Is(Answer.GRANTED))
         one.records.note_crash("cause", 3, on_trial=True)
         one.permits.end("cause", "n/q", SERVICE)
-        assert_that((await other.ask()).answer, Is(Answer.QUARANTINED))
+        assert_that((await other.request()).answer, Is(Answer.QUARANTINED))
         assert_that(other.quarantine.verdict("cause").standing, Is(Standing.QUARANTINED))
 
     asyncio.run(body())
@@ -104,8 +104,8 @@
     async def body():
         # The coordinator knows of no crash; the trial request carries the sender's record.
         nodes[3].suspect(1, 2)
-        assert_that((await nodes[3].ask()).answer, Is(Answer.GRANTED))
-        assert_that((await nodes[3].ask()).answer, Is(Answer.WAIT))
+        assert_that((await nodes[3].request()).answer, Is(Answer.GRANTED))
+        assert_that((await nodes[3].request()).answer, Is(Answer.WAIT))
         assert_that(nodes[0].records.find("cause").counted, HasLength(2))
 
     asyncio.run(body())
@@ -116,9 +116,9 @@
         nodes[0].suspect(1, 2)
         held = await nodes[0].permits.request("cause", "n/q", SERVICE, "i-1", left_s=5.0)
         assert_that(held.answer, Is(Answer.GRANTED))
-        assert_that((await nodes[0].ask()).answer, Is(Answer.WAIT))
+        assert_that((await nodes[0].request()).answer, Is(Answer.WAIT))
         nodes[0].permits.end("cause", "n/q", SERVICE)
-        assert_that((await nodes[0].ask()).answer, Is(Answer.GRANTED))
+        assert_that((await nodes[0].request()).answer, Is(Answer.GRANTED))
 
     asyncio.run(body())
 
@@ -127,7 +127,7 @@
     async def body():
         nodes[1].suspect(1, 2)
         wire.silent.add(nodes[0].membership.me.peer_address)
-        assert_that((await nodes[1].ask()).answer, Is(Answer.WAIT))
+        assert_that((await nodes[1].request()).answer, Is(Answer.WAIT))
 
     asyncio.run(body())
 
@@ -142,7 +142,7 @@
                 _again(each.membership.me) for each in nodes[1:] if each is not node
             )
         wire.silent.add(lost.peer_address)
-        found = [(await node.ask()).answer for node in nodes[1:]]
+        found = [(await node.request()).answer for node in nodes[1:]]
         assert_that(found.count(Answer.GRANTED), Equals(1))
 
     asyncio.run(body())
