--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -103,7 +103,7 @@
 ) -> AttemptOutcome:
     """Pass an answer on, or hold back a failure that another endpoint may do better."""
     if not exchange.route.streaming and exchange.progress.load is not None:
-        exchange.progress.load.read()
+        exchange.progress.load.prompt_read()
     if giving_up.holds_failure(exchange.route, head.status):
         exchange.progress.failure = HeldFailure(head, await read_whole(connection, head))
         return (
