--- a/packages/springbridge-node/springbridge_node/gateway/config/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps the configuration and the endpoint list fresh, from the platform's store and from peers."""
+"""Keeps the configuration and the endpoint list up to date, from the platform's store and peers."""
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -1,11 +1,11 @@
-"""Keeps the newest configuration in force, from the store's feed and from peers.
-
-Owns the configuration of this node, and hands on what the same table says of evacuations. Relies on
-routing/store_freshness.py, which decides who reads the store. A few nodes wait at the store's feed,
-which delivers changes at once, and pass them on to the others. Digests carry the seconds since the
-version in force was last known to be the newest, so a node whose peers confirm its version leaves
-the store alone. A node that cannot reach the store gets new versions from its peers. A version is
-never replaced by an older one.
+"""Keeps this node's configuration up to date from the store's change feed and from peers.
+
+Owns the configuration of this node, and passes on the evacuations, which are rows of the same
+table. routing/store_freshness.py decides which nodes read the store. A few nodes long-poll the
+store's feed, which delivers changes at once, and pass them on to the others. Digests carry the
+seconds since the version in force was last known to be the newest, so a node whose peers confirm
+its version does not read the store. A node that cannot reach the store gets new versions from its
+peers. A version is never replaced by an older one.
 """
 
 import asyncio
@@ -45,8 +45,8 @@
     """The configuration in force at this node.
 
     Attributes:
-      index: The configuration arranged for look-ups, or None before the first version.
-      document: The same version as the operators wrote it, to pass on to peers.
+      index: The configuration indexed for look-ups, or None before the first version.
+      document: The same version as the operators wrote it, for transfer to peers.
     """
 
     def __init__(
@@ -62,9 +62,10 @@
 
         Args:
           read: Parses an operators' document.
-          installed: Called with each new version and where it came from.
-          readers: Says whether this node reads the store for all.
-          evacuations: Called with what each answer of the store says of them, and its stamp.
+          installed: Called with each new version and its origin.
+          readers: Tells whether this node reads the store on behalf of the fleet.
+          evacuations: Called with the cursor and the evacuations of each successful read of the
+            store.
         """
         self._store = store
         self._read = read
@@ -87,14 +88,14 @@
         return self.document.version if self.document else 0
 
     def token_capacities(self) -> dict[str, int]:
-        """Return how many tokens an endpoint can hold, running requests included, by service."""
+        """Return the token capacity of an endpoint by service, running requests included."""
         if self.index is None:
             return {}
         services = self.index.configuration.services
         return {name: service.token_capacity for name, service in services.items()}
 
     def cold_services(self) -> set[str]:
-        """Return the services that name a rate for endpoints which are cold."""
+        """Return the names of the services that limit the request rate of cold endpoints."""
         return {name for name, service in self.services().items() if service.cold_per_s}
 
     def services(self) -> dict[str, Service]:
@@ -106,19 +107,19 @@
         return 0.0 if self._feed_is_up else self._clock() - self._confirmed_s
 
     def due_s(self) -> float:
-        """Return when a caller should come back to a node without a configuration, in seconds.
+        """Return the Retry-After for a node without a configuration, in seconds.
 
-        An outage lasts for seconds, and many callers come back only once.
+        An outage lasts for seconds, and many callers retry only once.
         """
         return without_configuration(store_is_up=self._dependency.up)
 
     def confirm(self, version: int, age_s: float) -> None:
-        """Note that a version was known to be the newest, by a peer, so many seconds ago."""
+        """Record that a peer knew this version to be the newest age_s seconds ago."""
         if version == self.version:
             self._confirmed_s = max(self._confirmed_s, self._clock() - age_s)
 
     def offer(self, document: ConfigurationDocument, source: Source) -> None:
-        """Put a configuration in force if it is newer than the present one and can be read."""
+        """Install a configuration if it is newer than the one in force and can be parsed."""
         if document.version <= self.version:
             return
         try:
@@ -133,7 +134,7 @@
         self._installed(index, source)
 
     async def run(self) -> None:
-        """Keep the configuration fresh until cancelled."""
+        """Keep the configuration up to date until cancelled."""
         while True:
             if not self._has_to_read():
                 await next_tick(LOOK_S)
@@ -156,7 +157,7 @@
         )
 
     def refresh(self) -> None:
-        """Read the store at once, without the rest of a pause: changes may have been missed."""
+        """Read the store at once, cutting a pause short: changes may have been missed."""
         self._feed_is_up = False
         self._confirmed_s = float("-inf")
         self._missed_changes.set()
@@ -173,11 +174,11 @@
         )
 
     async def catch_up(self, newest: int, fetch: FetchFromPeers) -> None:
-        """Fetch a newer version from the peers, or read the store if none of them delivers it.
+        """Fetch a newer version from the peers, or read the store if no peer returns it.
 
         Args:
           newest: Newest version that a peer claims to have in force.
-          fetch: Returns a peer's document if it is newer than a version, else None.
+          fetch: Returns a peer's document that is newer than the given version, or None.
         """
         if newest <= self.version:
             return
@@ -188,17 +189,17 @@
             self.refresh()
 
     async def _follow(self) -> None:
-        """Read the newest version; a reader then waits at the feed until a call fails."""
+        """Read the newest version; a reader then long-polls the feed until a call fails."""
         cursor = self._take(await self._store.read_configuration())
         while cursor is not None and self._readers.include_me(FEED_READERS):
             self._feed_is_up = True
             cursor = self._take(await self._store.await_configuration(cursor, FEED_WAIT_S))
 
     def _take(self, result) -> int | None:
-        """Install what a call returned.
+        """Apply the result of a read or of a long poll.
 
         Returns:
-          The cursor for the next call at the feed, or None if the whole must be read again.
+          The cursor of the next long poll, or None if the whole configuration must be read again.
         """
         match result:
             case Success(news):
@@ -218,7 +219,7 @@
                 return None
 
     def _note_unreadable(self, reason: str) -> None:
-        """Log a configuration that tells no version, once as long as the reason stays the same."""
+        """Log a configuration without a readable version, once until the reason changes."""
         if reason and reason != self._unreadable:
             logs.event("configuration.unreadable", version=0, kind=reason)
         self._unreadable = reason
--- a/packages/springbridge-node/springbridge_node/gateway/config/conftest.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/conftest.py
@@ -1,10 +1,10 @@
-"""Fixtures of this folder: a clock that tests move."""
+"""Fixtures of this folder: a clock that tests set."""
 
 import pytest
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests set."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -16,5 +16,5 @@
 
 @pytest.fixture
 def clock():
-    """Return a clock that stands still until a test moves it."""
+    """Return a clock that stands still until a test sets it."""
     return Clock()
--- a/packages/springbridge-node/springbridge_node/gateway/config/dependency.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/dependency.py
@@ -1,20 +1,20 @@
-"""Whether a dependency of this node answers, logged only when that changes.
+"""Tracks whether a dependency of this node answers, and logs each change.
 
-One line for each change, so that an outage does not flood the log.
+There is one log line for each change, so that an outage does not flood the log.
 """
 
 from springbridge_node import logs
 
 
 class Dependency:
-    """The state of one dependency.
+    """The availability of one dependency.
 
     Attributes:
-      up: Whether it answered the last call; True before the first.
+      up: Whether it answered the last call; True before the first call.
     """
 
     def __init__(self, name: str) -> None:
-        """Start as if it had answered, so that a first failure is logged.
+        """Start as available, so that a first failure is logged.
 
         Args:
           name: Name of the dependency in the log.
@@ -23,7 +23,7 @@
         self.up = True
 
     def answered(self) -> bool:
-        """Note an answer and return whether it ends an outage."""
+        """Record an answer and return whether it ends an outage."""
         regained = not self.up
         if regained:
             logs.event("dependency.regained", dependency=self._name)
@@ -31,7 +31,7 @@
         return regained
 
     def failed(self, reason: str) -> None:
-        """Note a failed call.
+        """Record a failed call.
 
         Args:
           reason: What failed, for the log.
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
@@ -1,8 +1,8 @@
-"""Keeps the endpoint list fresh: a few nodes read the store, the others follow their peers.
+"""Keeps the endpoint list up to date: a few nodes poll the store, the others follow their peers.
 
-Owns when the list is read or fetched; the endpoint registry owns the list itself. Relies on
-routing/store_freshness.py, which decides who reads. Non-readers see in their peers' digests whether
-their list is still the newest, and fetch a changed one from a peer.
+Owns when the list is read or fetched; the endpoint registry owns the list itself.
+routing/store_freshness.py decides which nodes read. The other nodes learn from their peers' digests
+whether their list is still the newest, and fetch a changed list from a peer.
 """
 
 import asyncio
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _PeerStatus:
-    """What a peer last said about its list.
+    """The status of a peer's endpoint list, from its last digest.
 
     Attributes:
-      snapshot: Fingerprint and present age of its list.
+      snapshot: Fingerprint of the list, and its age as of now.
     """
 
     address: str
@@ -57,15 +57,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _SameContent:
-    """Fingerprints of two lists that hold the same, made by builds that hash differently."""
+    """Fingerprints of two equal lists, computed by builds that hash differently."""
 
     own: int
     peer: int
 
 
-# Seconds for which a peer's other fingerprint counts as the same content. During a rollout it saves
-# four of five fetches. Longer would hide for as long a list that changed while it was fetched, from
-# callers of endpoints that left.
+# Seconds for which a peer's different fingerprint counts as the same content. During a rollout this
+# saves four of five fetches. If the list changes while it is fetched, the change stays hidden for
+# this long, and requests still go to endpoints that left; so it must not be longer.
 SAME_CONTENT_S = 1.0
 
 FetchSnapshot = Callable[[str | None], Awaitable[AgedSnapshot | None]]
@@ -73,14 +73,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerHooks:
-    """What the follower needs from the rest of the node.
+    """The functions of the node that the follower calls.
 
     Attributes:
-      capacities: Returns how many tokens an endpoint can hold, by service.
-      fetch: Returns the list of the peer at an address, or with None of any peer.
+      capacities: Returns the token capacity of an endpoint by service.
+      fetch: Returns the list of the peer at an address, or of any peer for None; None if no peer
+        returns one.
       changed: Called when this node has read a changed list from the store.
       regained: Called when the store answers again after a failure.
-      cold_services: Returns the services of which it matters who is cold.
+      cold_services: Returns the services whose cold endpoints have a limited request rate.
     """
 
     capacities: Callable[[], dict[str, int]]
@@ -95,7 +96,7 @@
 
     Attributes:
       dependency: Whether the store answered the last read by this node.
-      unreadable: The entries of the store's list that name no endpoint.
+      unreadable: Log and count of the entries of the store's list that could not be parsed.
     """
 
     def __init__(
@@ -111,7 +112,7 @@
         """Start without a list.
 
         Args:
-          readers: Says whether this node reads the store for all.
+          readers: Tells whether this node reads the store on behalf of the fleet.
           interval_s: Pause of a reader between two reads, in seconds.
         """
         self._store = store
@@ -128,11 +129,11 @@
         self.unreadable = UnreadableEntryLog()
 
     def seen(self) -> SnapshotStatus:
-        """Return the status of the list in use, for digests to peers."""
+        """Return fingerprint and age of the list in use, for digests to peers."""
         return SnapshotStatus(self._registry.fingerprint, min(OLDEST_AGE_S, self._registry.age_s()))
 
     async def step(self) -> None:
-        """Keep the list fresh for one interval."""
+        """Read or fetch the list if that is due, then wait for one interval."""
         if self._readers.seeds_come_first() and await self._has_list_of_a_seed():
             await next_tick(LOOK_S)
         elif self._readers.include_me(SNAPSHOT_READERS) or await self._has_to_stand_in():
@@ -142,9 +143,9 @@
             await next_tick(LOOK_S)
 
     async def _has_list_of_a_seed(self) -> bool:
-        """Return whether a starting node can leave the store alone.
+        """Return whether a starting node need not read the store.
 
-        It can while it has a confirmed list, or while its seeds may still deliver one.
+        It need not while its list is confirmed, or while a seed may still return one.
         """
         if self._registry.revision < 0:
             aged = await self._hooks.fetch(None)
@@ -153,7 +154,7 @@
         return is_confirmed(self._registry.age_s()) or self._readers.seeds_come_first()
 
     async def _has_to_stand_in(self) -> bool:
-        """Return whether this node has to read because no peer confirms or delivers the list."""
+        """Return whether this node must read the store: no peer confirms or returns the list."""
         own = SnapshotStatus(self._registry.fingerprint, self._registry.age_s())
         peer = self._peer_with_youngest()
         youngest = self._in_own_terms(own, peer.snapshot) if peer else None
@@ -167,7 +168,7 @@
                 return self._is_its_turn()
 
     def _peer_with_youngest(self) -> _PeerStatus | None:
-        """Return the peer that has the youngest list, or None if there are no peers."""
+        """Return the peer with the youngest list, or None if there are no peers."""
         ages = self._membership.snapshot_ages()
         if not ages:
             return None
@@ -178,8 +179,8 @@
     def _in_own_terms(self, own: SnapshotStatus, peer: SnapshotStatus) -> SnapshotStatus:
         """Return a peer's status, with this node's fingerprint if the content is the same.
 
-        During a rollout builds may hash a list differently. Without this each node would fetch the
-        list of a peer of the other build at every look.
+        During a rollout two builds may hash a list differently. Without this each node would fetch
+        the list of a peer that runs the other build at every step.
         """
         is_same = self._same_content == _SameContent(own.fingerprint, peer.fingerprint)
         if is_same and self._clock() < self._same_until_s:
@@ -187,7 +188,7 @@
         return peer
 
     async def _fetch_from(self, peer: _PeerStatus) -> bool:
-        """Install the list of a peer and return whether the peer delivered one."""
+        """Install a peer's list and return whether the peer returned one."""
         aged = await self._hooks.fetch(peer.address)
         if aged is None:
             return False
@@ -198,14 +199,14 @@
         return True
 
     def _is_its_turn(self) -> bool:
-        """Return whether this node reads in place of the readers now."""
+        """Return whether it is this node's turn to read in place of the readers."""
         if self._registry.revision < 0:
             return True
         is_old = is_overdue(self._registry.age_s(), self._readers.turn_s(SNAPSHOT_READERS))
         return is_old and self._clock() >= self._next_turn_s
 
     async def _read_store(self) -> None:
-        """Read once; if the store fails and the list has grown old, ask a peer."""
+        """Read the store once; if that fails and the list is too old, fetch it from a peer."""
         match await self._store.read_endpoints():
             case Success(snapshot):
                 self.unreadable.note(snapshot.unreadable)
@@ -219,7 +220,7 @@
                 await self._ask_any_peer()
 
     async def _ask_any_peer(self) -> None:
-        """Install a peer's list if it is younger than this node's old one."""
+        """Fetch a list from any peer if the own one is too old, and install it if it is younger."""
         if self._registry.age_s() < ASK_PEERS_AFTER_S:
             return
         aged = await self._hooks.fetch(None)
@@ -227,7 +228,7 @@
             self._install(aged, Source.PEER)
 
     def _install(self, aged: AgedSnapshot, source: Source) -> bool:
-        """Install a list, log it if it changed anything, and return whether it did."""
+        """Install a list, log the change if there is one, and return whether there is."""
         snapshot = with_cold_of(aged.snapshot, self._hooks.cold_services())
         changed = self._registry.install(snapshot, self._hooks.capacities(), aged.age_s)
         if changed:
--- a/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
@@ -1,6 +1,6 @@
-"""Ports to the platform's store: the calls that a node makes and the records that it gets back.
+"""Ports to the platform's store: the calls that a node makes and the records that they return.
 
-The adapter in the platform's folder implements them and alone knows the store's names and formats.
+The adapter in the platform folder implements them; only it knows the store's names and formats.
 """
 
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 
 # Seconds that a call to the store may take.
 CALL_TIMEOUT_S = 1.2
-# Seconds that a call at the feed may take beyond the wait that it asks for. It covers the way there
-# and back and a late wake-up of the store.
+# Seconds that a long poll may take beyond the wait that it requests. Covers the network round trip
+# and a late wake-up of the store.
 FEED_MARGIN_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDocument:
-    """A configuration as the operators wrote it; nodes pass it on to peers byte for byte."""
+    """A configuration as the operators wrote it; nodes send it to peers byte for byte."""
 
     version: int
     raw: bytes
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationNews:
-    """The result of a read or of a wait at the feed.
+    """The result of a read or of a long poll at the feed.
 
     Attributes:
-      cursor: Where the next wait continues.
-      document: The newest configuration, or None if there is no new one that can be read.
-      unreadable: Why there is one that does not even tell its version; "" if there is none.
-      evacuations: What the operators ask for of failure domains.
+      cursor: Position in the feed at which the next long poll continues.
+      document: The newest configuration, or None if there is no new readable one.
+      unreadable: Why a configuration could not be parsed as far as its version; "" if none failed.
+      evacuations: The failure domains that the operators evacuate.
     """
 
     cursor: int
@@ -48,11 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredCrashes:
-    """A request in quarantine as the store keeps it.
+    """A quarantined request as the store keeps it.
 
     Attributes:
       crashes: Ids of the crashes that count against it; see springbridge/crash_records.py.
-      failed_trials: Those of them that ended a trial.
+      failed_trials: Those of them that happened in a trial.
     """
 
     fingerprint: str
@@ -61,15 +61,15 @@
 
 
 class PlatformStore(LeaseStore, Protocol):
-    """The platform's store; a failed call returns TABLE_UNAVAILABLE unless its text says more.
+    """The platform's store; a failed call returns TABLE_UNAVAILABLE unless documented otherwise.
 
     Cursors and revisions are stamps; see springbridge/store_stamp.py.
     """
 
     def on_older_copy(self, went_back: Callable[[int], None]) -> None:
-        """Set who is told the new era when the store has come back from an older copy.
+        """Set the callback that gets the new era after the store was restored from an older copy.
 
-        What was written there in the last seconds may be gone, and revisions are given out again.
+        Writes of the last seconds may be lost then, and revisions are assigned a second time.
         """
 
     async def read_configuration(self) -> Result[ConfigurationNews, Problem]:
@@ -81,34 +81,34 @@
         """Return the next configuration as soon as there is one, or none after wait_s seconds.
 
         Returns:
-          VERSION_CONFLICT if the store no longer has the changes after the cursor, so that the
-          whole must be read again.
+          VERSION_CONFLICT if the store no longer has the changes after the cursor; the whole
+          configuration must then be read again.
         """
 
     async def read_endpoints(self) -> Result[EndpointSnapshot, Problem]:
-        """Return the endpoints that are listed now."""
+        """Return the current endpoint list."""
 
     async def read_nodes(self) -> Result[list[str], Problem]:
-        """Return the peer addresses of the nodes that announced themselves."""
+        """Return the peer addresses that nodes have announced."""
 
     async def announce(self, peer_address: str) -> Result[None, Problem]:
-        """Announce this node's peer address to nodes that start later."""
+        """Register this node's peer address for nodes that start later."""
 
     async def read_crashes(self) -> Result[list[StoredCrashes], Problem]:
-        """Return the requests in quarantine."""
+        """Return the stored records of all quarantined requests."""
 
     async def write_crashes(self, stored: StoredCrashes) -> Result[None, Problem]:
-        """Keep a request in quarantine, in place of what was kept of it."""
+        """Store the record of a quarantined request, replacing an earlier one."""
 
     async def remove_crashes(self, fingerprint: str) -> Result[None, Problem]:
-        """Keep nothing of a request any more."""
+        """Delete the record of a request."""
 
 
 class ConfigurationReader(Protocol):
     """Parses a configuration as the operators wrote it."""
 
     def __call__(self, raw: bytes) -> Configuration:
-        """Return the configuration.
+        """Return the parsed configuration.
 
         Raises:
           ValueError, KeyError, TypeError: The document is invalid.
--- a/packages/springbridge-node/springbridge_node/gateway/config/source.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/source.py
@@ -1,13 +1,13 @@
-"""Where a configuration or an endpoint list came from, as the log names it."""
+"""The origin of a configuration or an endpoint list, for the log."""
 
 from enum import StrEnum
 
 
 class Source(StrEnum):
-    """The origin of data; the values stand in the log.
+    """The origin of data; the values are written to the log.
 
     Attributes:
-      SEED: A peer that was asked because its address is among this node's seeds.
+      SEED: A peer that this node asked at its start, as one of its seeds.
     """
 
     STORE = "store"
--- a/packages/springbridge-node/springbridge_node/gateway/config/store_readers.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers.py
@@ -1,7 +1,7 @@
-"""This node's rank among those that read the platform's store for all.
+"""Ranks this node among the live nodes, of which the first few read the store for the fleet.
 
-Applies routing/store_freshness.py to the membership as this node sees it. Owns nothing but the time
-at which a starting node stops waiting for its seeds.
+Applies routing/store_freshness.py to the membership as this node sees it. Owns only the times after
+its start until which a node waits for its seeds and takes no role.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class StoreReaders:
-    """Who reads the store, as this node sees the membership."""
+    """The nodes that read the store, by the membership as this node sees it."""
 
     def __init__(
         self,
@@ -22,11 +22,11 @@
         clock: Callable[[], float] = now_s,
         roles_after_s: float = 0.0,
     ) -> None:
-        """Start the times in which the seeds are asked first and no role is taken.
+        """Start the periods in which seeds are asked first and no role is taken.
 
         Args:
-          asks_seeds_first: Whether there is a time in which the seeds are asked first.
-          roles_after_s: Seconds for which this node reads for nobody else.
+          asks_seeds_first: Whether this node asks its seeds before the store when it starts.
+          roles_after_s: Seconds after the start for which this node is not a reader.
         """
         self._membership = membership
         self._clock = clock
@@ -38,32 +38,32 @@
         )
 
     def include_me(self, count: int) -> bool:
-        """Return whether this node is among the first nodes of the ranking, which read for all."""
+        """Return whether this node is one of the first count nodes, which read for the fleet."""
         if self._clock() < self._roles_from_s:
             return False
         return self._membership.is_live() and self._rank() < count
 
     def turn_s(self, count: int) -> float:
-        """Return how long past CONFIRMED_S this node leaves the store to others, in seconds.
+        """Return how many seconds past CONFIRMED_S this node waits before it reads the store.
 
         Args:
-          count: How many nodes read for all.
+          count: Number of readers.
         """
         return store_freshness.turn_s(self._rank(), count)
 
     def round_s(self) -> float:
-        """Return the time in which each live node has a turn, in seconds."""
+        """Return the seconds in which each live node gets one turn."""
         return store_freshness.round_s(self._membership.live_count())
 
     def seeds_come_first(self) -> bool:
-        """Return whether this node has just started and leaves the store to its seeds."""
+        """Return whether this node has just started and still waits for its seeds."""
         return self._clock() < self._ask_seeds_until_s
 
     def _rank(self) -> int:
-        """Return how many live nodes come before this one.
+        """Return how many live nodes are ranked before this one.
 
-        The rank is kept until other nodes are live: it takes a hash of each of them, and each look
-        at the store asks for it several times.
+        The rank is cached until the set of live nodes changes: it takes a hash of each of them, and
+        each step of a follower needs it several times.
         """
         version = self._membership.live_version()
         if version != self._ranked_version:
--- a/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine.py
@@ -1,12 +1,13 @@
-"""Keeps requests in quarantine in the platform's store, so that a loss of all nodes loses none.
+"""Persists quarantined requests in the platform's store, so that they survive a loss of all nodes.
 
-Without it a fleet that starts anew would learn of each such request by the loss of three further
-endpoints. Few calls: a row for each request in quarantine, written by the node whose trial failed,
-and read once by the nodes that read the store for all. The row goes when a trial ends well, or when
-nothing has happened to the request for so long that all nodes forget it.
+Without it a restarted fleet would lose three further endpoints to each such request before it
+quarantines it again. The load on the store is low: there is one row for each quarantined request,
+written by the node whose trial failed and read once by the nodes that read the store for the fleet.
+The row is removed when a trial succeeds, or when the request has been inactive for so long that all
+nodes expire it.
 
-How old a row is it does not say, since nodes share no clock; a node that reads one counts the
-crashes from then on, unless peers know better.
+A row carries no time, since nodes share no clock. A node that reads one takes the crashes as new,
+unless peers know their age.
 """
 
 from collections.abc import Callable
@@ -20,16 +21,16 @@
 from springbridge_node.gateway.config.platform_store import PlatformStore, StoredCrashes
 from springbridge_node.gateway.config.store_readers import StoreReaders
 
-# Seconds between two looks at what has to be written or read. Short beside the seconds until a
-# request in quarantine is tried again.
+# Seconds between two checks for rows to write, remove or read. Short compared with the time until a
+# quarantined request is tried again.
 LOOK_S = 1.0
-# Rows that are waiting to be written or removed. Bounds the memory while the store is out. A share
-# of the records that a node keeps.
+# Most rows that wait to be written, or to be removed. Bounds memory while the store is down. A
+# fraction of the records that a node keeps.
 MOST_WAITING = 64
 
 
 class StoredQuarantine:
-    """Writes, reads and removes the rows."""
+    """Writes, reads and removes the rows of quarantined requests."""
 
     def __init__(
         self,
@@ -38,10 +39,10 @@
         records: CrashRecords,
         adopt: Callable[[ToldRecord], None],
     ) -> None:
-        """Start without anything to do but to read.
+        """Start with no pending writes; the rows are still to be read.
 
         Args:
-          adopt: Takes in a record of the store and tells peers of it.
+          adopt: Merges a record from the store and announces it to peers.
         """
         self._store = store
         self._readers = readers
@@ -54,33 +55,36 @@
         self._removed: dict[str, None] = {}
 
     def entered(self, fingerprint: str) -> None:
-        """Write the row of a request soon."""
+        """Schedule the write of a quarantined request's row."""
         self._to_remove.pop(fingerprint, None)
         self._removed.pop(fingerprint, None)
         self._to_write[fingerprint] = None
         _bound(self._to_write)
 
     def left(self, fingerprint: str) -> None:
-        """Remove the row of a request soon."""
+        """Schedule the removal of the row of a request that left quarantine."""
         self._to_write.pop(fingerprint, None)
         self._written.pop(fingerprint, None)
         self._to_remove[fingerprint] = None
         _bound(self._to_remove)
 
     def expired(self, fingerprint: str) -> None:
-        """Remove the row of a request that all nodes forget at about the same moment."""
+        """Schedule the removal of an expired row.
+
+        All nodes expire a request at about the same moment; only the first-ranked one removes it.
+        """
         if self._readers.include_me(1):
             self.left(fingerprint)
 
     def write_again(self) -> None:
-        """Write and remove anew what this node did: the store has come back from an older copy."""
+        """Repeat this node's writes and removals: the store was restored from an older copy."""
         for fingerprint in self._written:
             self.entered(fingerprint)
         for fingerprint in self._removed:
             self.left(fingerprint)
 
     async def step(self) -> None:
-        """Do what is due; what fails is tried again at the next look."""
+        """Read, write and remove pending rows; failed calls are retried at the next step."""
         if not self._was_read and self._readers.include_me(SNAPSHOT_READERS):
             await self._read()
         for fingerprint in list(self._to_write):
@@ -95,7 +99,7 @@
                 _bound(self._removed)
 
     async def _write(self, fingerprint: str) -> bool:
-        """Write the row of a request, and return whether nothing is left to do."""
+        """Write the row of a request; return whether it needs no further attempt."""
         record = self._records.find(fingerprint)
         if record is None:
             return True
@@ -103,7 +107,7 @@
         return _is_done("write", await self._store.write_crashes(stored))
 
     async def _read(self) -> None:
-        """Take in the rows of the store."""
+        """Read the rows of the store and merge them into the records."""
         found = await self._store.read_crashes()
         if not _is_done("read", found):
             return
@@ -116,7 +120,7 @@
 
 
 def _is_done(call: str, result: Result[object, Problem]) -> bool:
-    """Return whether a call to the store succeeded, and log it if not."""
+    """Return whether a call to the store succeeded, and log a failure."""
     match result:
         case Success(_):
             return True
--- a/packages/springbridge-node/springbridge_node/gateway/config/unreadable_entries.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/unreadable_entries.py
@@ -1,7 +1,7 @@
-"""Logs the entries of the endpoint list that cannot be read, once for each content.
+"""Logs entries of the endpoint list that cannot be parsed, once for each distinct entry.
 
-The list is read twice a second and an unreadable entry may stay for hours, so that a line for each
-reading would fill the log with one fault.
+The list is read twice a second and an unreadable entry may stay for hours; a line for each read
+would fill the log with one fault.
 """
 
 from collections import OrderedDict
@@ -11,25 +11,25 @@
 
 from springbridge_node import logs
 
-# Entries of which the log remembers that it named them, the latest ones. Above the number of
-# endpoints of a large fleet, so that a list that is wholly unreadable is named once.
+# Number of logged entries that are remembered, the latest ones. More than the endpoints of a large
+# fleet, so that a wholly unreadable list is logged once.
 REMEMBERED = 2000
 
 
 class UnreadableEntryLog:
-    """Names each unreadable entry once.
+    """Logs each unreadable entry once.
 
     Attributes:
-      count: Unreadable entries on the list that was read last.
+      count: Number of unreadable entries in the last list read.
     """
 
     def __init__(self) -> None:
-        """Start with none named."""
+        """Start with no entries logged."""
         self.count = 0
         self._named: OrderedDict[UnreadableEntry, None] = OrderedDict()
 
     def note(self, entries: Iterable[UnreadableEntry]) -> None:
-        """Take in the unreadable entries of a list that was read from the store."""
+        """Count the unreadable entries of a list read from the store, and log the new ones."""
         found = tuple(entries)
         self.count = len(found)
         for entry in found:
