--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
@@ -1,4 +1,4 @@
-"""Joins the parts of the duties; a node whose settings name no duty has none of them."""
+"""Assembles the parts of the duties; a node whose settings enable no duty has none of them."""
 
 from collections.abc import Callable, Coroutine
 
@@ -19,9 +19,9 @@
 from springbridge_node.gateway.telemetry import Telemetry
 from springbridge_node.periodic import every, every_tick
 
-# Seconds after the start before the lease is looked at, in which the other nodes become known.
+# Seconds after the start before the first step; the node learns of the other nodes in this time.
 FIRST_LOOK_S = 1.0
-# Seconds between two looks at what the holder has to do.
+# Seconds between two steps of the reporter, and of the scaler.
 ACT_S = 0.5
 
 
@@ -29,9 +29,9 @@
     """The duties of one node.
 
     Attributes:
-      keeper: Holds the lease.
-      sharing: Counts requests.
-      reporter: Reports the counts.
+      keeper: Acquires and renews the lease.
+      sharing: Counts requests and shares the counts.
+      reporter: Reports the usage to the platform.
       scaler: Orders endpoints.
     """
 
@@ -44,7 +44,7 @@
         platform: DutyPlatform,
         services: Callable[[], dict[str, Service]],
     ) -> None:
-        """Join the parts; nothing is started yet."""
+        """Create and connect the parts; nothing is started yet."""
         me = membership.me
         lease_s = length_s(settings.no_return_s)
         candidates = LeaseCandidates(membership)
@@ -64,11 +64,11 @@
         self.keeper.connect(self._taken, self.reporter.content, self.reporter.renewed)
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to tell peers and to be told."""
+        """Start exchanging usage counts with peers."""
         self.sharing.connect(datagrams)
 
     def work(self) -> tuple[Coroutine[None, None, None], ...]:
-        """Return the work of all tasks, none of which ends by itself."""
+        """Return the coroutines of all periodic tasks, none of which ends by itself."""
         tasks = [
             every_tick(TELL_S, self.sharing.step),
             every(self._renewal_s, self.keeper.step, FIRST_LOOK_S),
@@ -84,12 +84,12 @@
         self.sharing.sent(admitted)
 
     def began(self, admitted: Admitted) -> None:
-        """Count a request that an endpoint began."""
+        """Count a request that an endpoint began, if it names a customer."""
         if admitted.customer:
             self.sharing.began(admitted.customer)
 
     def show(self, telemetry: Telemetry) -> None:
-        """Set the gauges of the duties."""
+        """Set the gauges of the lease and of the duty calls."""
         credentials = self.keeper.credentials
         telemetry.lease_token.set(credentials.token if credentials else 0)
         for result, count in (
@@ -101,11 +101,11 @@
             telemetry.duty_calls.labels(result).set(count)
 
     async def leave(self) -> None:
-        """Hand the lease on because this node is stopped."""
+        """Release the lease, as part of a planned stop."""
         await self.keeper.leave()
 
     def _taken(self, takeover: Takeover) -> None:
-        """Go on from where the holder before this node was."""
+        """Let reporter and scaler continue after a takeover of the lease."""
         self.reporter.taken(takeover)
         self.scaler.taken()
 
@@ -117,7 +117,7 @@
     outside: Outside,
     services: Callable[[], dict[str, Service]],
 ) -> DutyParts | None:
-    """Return the duties of a node, None if its settings or its platform name none."""
+    """Return the duties of a node, or None if its settings or its platform have none."""
     if outside.duties is None or not settings.has_any:
         return None
     return DutyParts(settings, membership, registry, outside.store, outside.duties, services)
--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_platform.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_platform.py
@@ -1,6 +1,6 @@
-"""Ports of the duties: the lease in the platform's store, and the calls that one node may make.
+"""Ports of the duties: the lease in the platform's store, and the calls that only its holder makes.
 
-The adapter in the platform's folder implements them and alone knows names and formats.
+The adapter in the platform folder implements them; only it knows names and formats.
 """
 
 from dataclasses import dataclass
@@ -11,13 +11,13 @@
 from springbridge.duties.usage_reports import Report
 from springbridge.problems import Problem
 
-# Seconds that a duty call may take. Several fit into one lease.
+# Timeout of a duty call, in seconds. Several calls fit into one lease.
 DUTY_CALL_S = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """Who makes a duty call: the name of the instance, and the fencing token of its lease."""
+    """Credentials of a duty call: the name of the instance, and the fencing token of its lease."""
 
     holder: str
     token: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointOrder:
-    """An order for a number of endpoints of one kind, in place of the number ordered before."""
+    """An order for a number of endpoints of one kind; it replaces the number ordered before."""
 
     service: str
     failure_domain: str
@@ -34,23 +34,23 @@
 
 
 class LeaseStore(Protocol):
-    """The rows of leases; a failed call returns TABLE_UNAVAILABLE unless its text says more."""
+    """The rows of leases; a failed call returns TABLE_UNAVAILABLE unless documented otherwise."""
 
     async def read_lease(self, duty: str) -> Result[LeaseReading, Problem]:
-        """Return the lease of a duty."""
+        """Return the current row of a lease and its stamp."""
 
     async def write_lease(
         self, duty: str, row: LeaseRow, before: int
     ) -> Result[LeaseReading, Problem]:
-        """Write the lease of a duty if its stamp is still the one of before.
+        """Write the row of a lease if its stamp still equals before (compare and set).
 
         Returns:
-          The reading after the write; VERSION_CONFLICT if the stamp is another one.
+          The reading after the write; VERSION_CONFLICT if the stamp differs.
         """
 
 
 class DutyPlatform(Protocol):
-    """The platform's duty calls. A failure says nothing about whether the call took effect."""
+    """The platform's duty calls. A call that fails may still have taken effect."""
 
     async def report_usage(self, credentials: Credentials, report: Report) -> Result[None, Problem]:
         """Report the usage of a window."""
@@ -58,4 +58,4 @@
     async def order_endpoints(
         self, credentials: Credentials, order: EndpointOrder
     ) -> Result[None, Problem]:
-        """Order endpoints; OVERLOADED if there are none to be had now."""
+        """Order endpoints; OVERLOADED if none are available now."""
--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_rows.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_rows.py
@@ -1,7 +1,8 @@
-"""Rows of the datagrams about duties.
+"""Encodes and decodes the datagrams about duties.
 
-A datagram of usage holds one window of one node and the work that the node has sent so far; one of
-news the true time and the reports that the holder has decided. Older builds drop both kinds.
+A usage datagram has the counts of one window of one node and the total work that the node has sent
+to endpoints. A datagram of the lease holder has the true time and the reports that it has decided.
+Older builds drop both kinds.
 """
 
 from dataclasses import dataclass
@@ -11,13 +12,13 @@
 
 from springbridge_node.gateway.peers.row_fields import number, text, whole
 
-# In place of a window where a node has only work to tell.
+# Placeholder for a window in a datagram that only reports work.
 NO_COUNTS = WindowCounts(-1, {})
 
 
 @dataclass(frozen=True, slots=True)
 class ToldWork:
-    """The work that a run of an instance has sent so far, in prompt tokens by service."""
+    """The total work that a run of an instance has sent, in prompt tokens by service."""
 
     incarnation: str
     tokens: dict[str, int]
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderNews:
-    """What the holder tells: the true time, and reports that it has decided."""
+    """A datagram of the lease holder: the true time, and the reports that it has decided."""
 
     true_s: float
     reports: tuple[Report, ...]
@@ -34,12 +35,12 @@
 def usage_rows(
     incarnation: str, started_s: float, counted: WindowCounts, work: dict[str, int]
 ) -> list:
-    """Return the rows of a node's counts in one window and of its work."""
+    """Encode a node's counts in one window, and its total work by service."""
     return [incarnation, started_s, counted.window, counted.counts, work]
 
 
 def read_usage(rows: list) -> tuple[ToldUsage | None, ToldWork]:
-    """Return the counts, None if there are none, and the work of a node."""
+    """Decode the counts of a node, None if there are none, and its work."""
     incarnation, started_s, window, counts, work = rows
     told_work = ToldWork(text(incarnation), read_counts(work))
     if whole(window) == NO_COUNTS.window:
@@ -49,12 +50,12 @@
 
 
 def news_rows(true_s: float, reports: list[Report]) -> list:
-    """Return the rows of the holder's news."""
+    """Encode the true time and the decided reports."""
     return [true_s, [[report.window, report.counts] for report in reports]]
 
 
 def read_news(rows: list) -> HolderNews:
-    """Return the holder's news of its rows."""
+    """Decode a datagram of the lease holder."""
     true_s, reports = rows
     return HolderNews(
         number(true_s),
@@ -63,10 +64,10 @@
 
 
 def read_counts(raw: object) -> Counts:
-    """Return numbers by name.
+    """Return the counts by name.
 
     Raises:
-      ValueError: It is something else.
+      ValueError: The value is not a map of names to whole numbers.
     """
     if not isinstance(raw, dict):
         raise ValueError("no counts")
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_candidates.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_candidates.py
@@ -1,6 +1,6 @@
-"""Which nodes may take the lease of the duties; the same ones get the counts of all nodes.
+"""Ranks the nodes that may hold the lease of the duties; they also receive the usage of all nodes.
 
-The ranking goes by the names of instances, so that a node that starts again has its old place.
+The rank depends on the name of the instance, so that a restarted node has the same rank.
 """
 
 from springbridge.duties.lease import CANDIDATES
@@ -8,19 +8,19 @@
 from springbridge.member import Member
 from springbridge.membership import Membership
 
-# Hash key of the ranking. All nodes of a fleet have to use the same text.
+# Hash key of the ranking. All nodes of a fleet must use the same text.
 ROLE_KEY = "holder of duties"
 
 
 class LeaseCandidates:
-    """The ranking of the live nodes, as this node sees them."""
+    """The ranking of the live nodes, by the membership as this node sees it."""
 
     def __init__(self, membership: Membership) -> None:
         """Keep the membership."""
         self._membership = membership
 
     def rank(self) -> int:
-        """Return how many nodes come before this one."""
+        """Return how many live nodes are ranked before this one."""
         me = self._membership.me
         own = score(ROLE_KEY, me.instance)
         return sum(
@@ -30,11 +30,11 @@
         )
 
     def include_me(self) -> bool:
-        """Return whether this node runs and is among the candidates."""
+        """Return whether this node is live and one of the candidates."""
         return self._membership.is_live() and self.rank() < CANDIDATES
 
     def others(self) -> list[Member]:
-        """Return the candidates without this node."""
+        """Return the candidates other than this node."""
         me = self._membership.me.incarnation
         live = self._membership.live()
         ranked = sorted(live, key=lambda each: score(ROLE_KEY, each.instance), reverse=True)
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_content.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_content.py
@@ -1,7 +1,7 @@
-"""What the holder of the duties keeps with the lease, so that its successors can go on.
+"""The state that the holder of the duties stores with the lease for later holders.
 
-The totals of windows that are not decided serve a fleet whose nodes were all lost; the reports say
-what was decided and must never be decided anew.
+The totals of undecided windows are needed if all nodes of the fleet were lost. The reports record
+what was decided and must never be decided again.
 """
 
 from dataclasses import dataclass, field
@@ -13,10 +13,10 @@
 from springbridge_node.gateway.duties.duty_rows import read_counts
 from springbridge_node.gateway.peers.row_fields import number, whole
 
-# Bytes of the totals that are kept; a row of the store holds little more. What is beyond is lost if
-# all nodes are lost at once.
+# Most bytes of totals that are stored; a row of the store holds little more. Larger totals are left
+# out, and are lost if all nodes are lost at once.
 MOST_TOTALS_BYTES = 24 << 10
-# Era of a content that nobody kept.
+# Era of an empty content that was never stored.
 NO_ERA = -1
 
 
@@ -25,13 +25,13 @@
     """The holder's state.
 
     Attributes:
-      kept_s: True time at which it was kept.
-      wall_ahead_s: True time less the store's steady clock; None before it was known.
-      next_window: First window that is not decided; None before the first.
-      reports: Reports that were decided lately.
-      totals: Counts of windows that are not decided.
-      era: Era of the store in which it was kept. A row that only names a new holder has the content
-        of the holder before.
+      kept_s: True time at which it was stored.
+      wall_ahead_s: True time minus the store's steady clock; None while unknown.
+      next_window: First undecided window; None before the first decision.
+      reports: Recently decided reports.
+      totals: Counts of undecided windows.
+      era: Era of the store in which it was stored. A row that only names a new holder still has the
+        content of the previous holder.
     """
 
     kept_s: float = 0.0
@@ -43,7 +43,7 @@
 
 
 def to_bytes(content: LeaseContent) -> bytes:
-    """Return the content of the row."""
+    """Encode a content for the row; totals above MOST_TOTALS_BYTES are left out."""
     totals = {str(window): counts for window, counts in content.totals.items()}
     if len(orjson.dumps(totals)) > MOST_TOTALS_BYTES:
         totals = {}
@@ -60,13 +60,14 @@
 
 
 def from_bytes(raw: bytes, row_era: int) -> LeaseContent:
-    """Return the content of a row.
+    """Decode the content of a row.
 
     Args:
-      row_era: Era in which the row was written, for the content of earlier builds, which name none.
+      row_era: Era in which the row was written; used for content of earlier builds, which has no
+        era.
 
     Raises:
-      ValueError, TypeError, KeyError: The row is of another writer.
+      ValueError, TypeError, KeyError: The content has another format.
     """
     found = orjson.loads(raw)
     ahead_s, next_window = found["wall_ahead_s"], found["next_window"]
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper.py
@@ -1,8 +1,8 @@
-"""Takes, renews and hands on the lease of the duties.
+"""Acquires, renews and releases the lease under which one node performs the fleet's duties.
 
-Owns this node's tenure. The rules are those of springbridge.duties.lease; each step makes one call
-to the store at most, but where a renewal is refused. Duty calls run inside acting(), which lets
-none begin that could outlast the tenure, and the lease is handed on only once none is under way.
+Owns this node's tenure. The rules are those of springbridge.duties.lease. Each step makes at most
+one call to the store, except after a refused renewal. Duty calls run inside acting(), which rejects
+calls that could outlast the tenure, and the lease is released only while none is in progress.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 from springbridge_node.gateway.duties.duty_platform import Credentials, LeaseStore
 from springbridge_node.gateway.duties.lease_candidates import LeaseCandidates
 
-# The one lease of all duties.
+# Name of the single lease that covers all duties.
 DUTY = "duties"
-# Seconds between two looks whether the last duty call is over.
+# Seconds between two checks whether the last duty call has ended.
 POLL_S = 0.02
 
 
@@ -35,7 +35,7 @@
 
     Attributes:
       dependency: Whether the store answered the last call about the lease.
-      changes: How often this node has taken the lease.
+      changes: Number of times this node has acquired the lease.
     """
 
     def __init__(
@@ -50,8 +50,9 @@
         """Start without the lease.
 
         Args:
-          name: Of this instance.
-          incarnation: Of this run of its process.
+          name: Name of this instance.
+          incarnation: Identifier of this run of its process.
+          lease_s: Length of the lease, in seconds.
         """
         self._store = store
         self._candidates = candidates
@@ -77,28 +78,29 @@
         content: Callable[[int], bytes],
         renewed: Callable[[], None],
     ) -> None:
-        """Set who works under the lease.
+        """Set the callbacks of the parts that work under the lease.
 
         Args:
-          taken: Called when this node has taken the lease.
-          content: Returns what the next renewal keeps for the successors, given the store's era.
-          renewed: Called when the store has what content() last returned.
+          taken: Called when this node has acquired the lease.
+          content: Returns the state that the next renewal stores for later holders, given the era
+            of the store.
+          renewed: Called when the store has acknowledged what content() last returned.
         """
         self._taken, self._content, self._renewed = taken, content, renewed
 
     @property
     def credentials(self) -> Credentials | None:
-        """Return what duty calls name, or None if this node may make none."""
+        """Return the credentials for duty calls, or None if this node does not hold the lease."""
         if self._tenure is None or self._clock() > self._tenure.until_s:
             return None
         return Credentials(self._name, self._tenure.token)
 
     @contextlib.contextmanager
     def acting(self, call_s: float) -> Iterator[Credentials | None]:
-        """Give the credentials for one call, or None if it could outlast the tenure.
+        """Yield the credentials for one call, or None if it could outlast the tenure.
 
         Args:
-          call_s: Longest time of the call, in seconds.
+          call_s: Timeout of the call, in seconds.
         """
         tenure = self._tenure
         if tenure is None or self._leaving or not tenure.allows(self._clock(), call_s):
@@ -111,12 +113,12 @@
             self._acting -= 1
 
     async def leave(self) -> None:
-        """Hand the lease on because this node is stopped."""
+        """Release the lease, as part of a planned stop; it is not taken again."""
         self._leaving = True
         await self.step()
 
     async def step(self) -> None:
-        """Do what is due about the lease."""
+        """Acquire, renew or release the lease, as due."""
         async with self._step:
             if self._tenure is not None:
                 await self._hold(self._tenure)
@@ -124,7 +126,7 @@
                 await self._stand_by()
 
     async def _hold(self, tenure: Tenure) -> None:
-        """Renew the lease or hand it on."""
+        """Renew the lease, release it, or give it up if the tenure has expired."""
         is_candidate = not self._leaving and self._candidates.include_me()
         match lease.holder_step(tenure, self._clock(), is_candidate=is_candidate):
             case Step.RENEW:
@@ -135,7 +137,7 @@
                 self._lose("not renewed in time")
 
     async def _stand_by(self) -> None:
-        """Follow the row if this node is a candidate, and take the lease when it is free."""
+        """Watch the row if this node is a candidate, and acquire the lease once it is free."""
         rank = self._candidates.rank()
         if self._next_step(rank) is Step.READ:
             await self._read()
@@ -146,11 +148,11 @@
                 self._sight = None
 
     def _next_step(self, rank: int) -> Step:
-        """Return what this node does as a candidate."""
+        """Return the next step of this node as a candidate."""
         return lease.candidate_step(self._sight, self._clock(), self._lease_s, rank)
 
     async def _read(self) -> LeaseReading | None:
-        """Read the row and return the reading, None if the store gave none."""
+        """Read the row and return the reading, or None if the call failed."""
         match await self._store.read_lease(DUTY):
             case Success(reading):
                 self.dependency.answered()
@@ -161,7 +163,7 @@
         return None
 
     async def _take(self, sight: Sight) -> None:
-        """Write this node as the holder, with what the holder before it kept."""
+        """Write this node as the holder, with the stored content of the previous holder."""
         before = sight.reading
         row = self._row(before.row.content if before.row else b"", before.stamp)
         sent_s = self._clock()
@@ -173,8 +175,9 @@
         written = result.unwrap()
         self.dependency.answered()
         if era_of(written.stamp) != era_of(before.stamp):
-            # The store came back from an older copy meanwhile. Its condition names a revision only,
-            # which is another one's by now: what this node waited for has not been seen.
+            # The store was restored from an older copy in the meantime. The condition of the write
+            # names only a revision, which now belongs to another write: this node has not watched
+            # the row that it replaced.
             logs.event("lease.not_written", call="take", detail="another era")
             return
         self._tenure = lease.taken(written.stamp, sent_s, self._lease_s)
@@ -187,11 +190,11 @@
         )
         reading = replace(before, store_s=written.store_s)
         self._taken(Takeover(reading, sight.since_s, self._clock(), self._alone_until_s))
-        # At once, since a report may be due that can be sent only after a renewal.
+        # Renewed at once: a report may be due, and reports are sent only after a renewal.
         await self._renew(self._tenure)
 
     async def _renew(self, tenure: Tenure) -> None:
-        """Renew the lease with what the successors need."""
+        """Renew the lease and store the state that later holders need."""
         row = self._row(self._content(era_of(tenure.stamp)), tenure.stamp)
         sent_s = self._clock()
         result = await self._store.write_lease(DUTY, row, tenure.stamp)
@@ -204,7 +207,7 @@
         self._renewed()
 
     async def _after_refused_renewal(self, tenure: Tenure, problem: Problem) -> None:
-        """Find out whether the lease is still this node's."""
+        """Read the row to find out whether this node still holds the lease."""
         self._not_written("renew", problem)
         if problem.code is not Code.VERSION_CONFLICT:
             return
@@ -217,7 +220,7 @@
             self._lose("another holder" if reading.row else "no row")
 
     async def _hand_on(self, tenure: Tenure) -> None:
-        """Give the lease up, once no duty call is under way."""
+        """Release the lease once no duty call is in progress."""
         self._tenure = None
         while self._acting:
             await asyncio.sleep(POLL_S)
@@ -226,14 +229,14 @@
         row = replace(self._row(content, tenure.stamp), handed_on=True)
         result = await self._store.write_lease(DUTY, row, tenure.stamp)
         if isinstance(result, Failure):
-            # The successor waits for the whole length then.
+            # The successor then has to wait until the lease expires.
             self._not_written("hand on", result.failure())
         else:
             logs.event("lease.handed_on", token=tenure.token)
         self._sight = None
 
     def _row(self, content: bytes, before: int) -> LeaseRow:
-        """Return the row of this run as the holder.
+        """Return the row that names this process as the holder.
 
         Args:
           before: Stamp of the row that it replaces.
@@ -241,7 +244,7 @@
         return LeaseRow(self._name, self._incarnation, False, content, era_of(before))
 
     def _lose(self, reason: str) -> None:
-        """Note that the lease is not this node's any more."""
+        """Drop the tenure: this node does not hold the lease any more."""
         logs.event("lease.lost", token=self._tenure.token, reason=reason)
         self._tenure = None
         self._sight = None
--- a/packages/springbridge-node/springbridge_node/gateway/duties/scaler.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/scaler.py
@@ -1,8 +1,8 @@
-"""Orders endpoints while this node holds the lease.
+"""Scales the fleet's endpoints by orders to the platform, while this node holds the lease.
 
-The numbers are those of springbridge.duties.scaling. An order names how many endpoints there should
-be, so that it may be given again: where the list has too few of them for REORDER_S, as after spot
-endpoints have left.
+springbridge.duties.scaling computes the numbers. An order names the desired number of endpoints and
+is idempotent, so it can be repeated: this is done when the list still has too few of them after
+REORDER_S, such as after spot endpoints have left.
 """
 
 from collections import Counter
@@ -27,24 +27,26 @@
 from springbridge_node.gateway.duties.lease_keeper import LeaseKeeper
 from springbridge_node.gateway.duties.usage_sharing import UsageSharing
 
-# Age of the endpoint list in seconds up to which orders follow it.
+# Greatest age of the endpoint list, in seconds, at which orders are based on it.
 OLDEST_LIST_S = 2.0
-# Seconds after an order before it is given again; an endpoint starts in that time.
+# Seconds before an order is repeated; an endpoint starts within this time.
 REORDER_S = 6.0
-# The same after an order that there were no endpoints for, or that got no answer.
+# Seconds before an order is repeated that failed: no endpoints available, or no answer.
 RETRY_S = 1.5
-# Seconds of load that count as the present one; bursts follow each other within such a time.
+# Length in seconds of the period whose peak counts as the current load. Bursts follow each other
+# within such a time.
 PRESENT_S = 20.0
-# Seconds after the lease was taken in which fewer endpoints are not ordered.
+# Seconds after the lease was acquired during which no reduction is ordered.
 OBSERVE_S = 4.0
-# Seconds without a new entry after which a list counts as whole to a new holder. An order for fewer
-# than there are takes the others away, and before that nobody can tell how many there are.
+# Seconds without a new entry after which a new holder takes the list as complete. An order for
+# fewer endpoints than exist removes the others, and an incomplete list does not show how many there
+# are.
 WHOLE_AFTER_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """What one order is about."""
+    """The kind of endpoint that an order is for: orders of the same subject replace each other."""
 
     service: str
     failure_domain: str
@@ -53,7 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Given:
-    """The last order about a subject, and when it may be given again."""
+    """The last order for a subject.
+
+    Attributes:
+      count: Number of endpoints ordered.
+      again_s: Time from which the order may be repeated.
+      taken: Whether the platform accepted it.
+    """
 
     count: int
     again_s: float
@@ -62,18 +70,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Growth:
-    """The most entries of a service on the list, and when they were first seen."""
+    """The largest number of listed endpoints of a service so far, and when it was first seen."""
 
     count: int
     since_s: float
 
 
 class Scaler:
-    """The orders of this node.
+    """Orders endpoints of all services that have scaling limits.
 
     Attributes:
-      orders: Orders that the platform took from this node.
-      refused: Orders that it did not take.
+      orders: Number of orders that the platform accepted from this node.
+      refused: Number of orders that failed.
     """
 
     def __init__(
@@ -86,11 +94,11 @@
         clock: Callable[[], float] = now_s,
         policy: object = SpotFirst(),
     ) -> None:
-        """Keep the parts.
+        """Start without orders.
 
         Args:
           services: Returns the services of the configuration in force.
-          policy: See springbridge.duties.scaling.
+          policy: Scaling policy; see springbridge.duties.scaling.
         """
         self._keeper = keeper
         self._sharing = sharing
@@ -108,14 +116,14 @@
         self.refused = 0
 
     def taken(self) -> None:
-        """Begin anew: what earlier holders ordered is not known here."""
+        """Reset after the lease was acquired: the orders of earlier holders are not known here."""
         self._given = {}
         self._stood = {}
         self._growing = {}
         self._taken_s = self._clock()
 
     async def step(self) -> None:
-        """Give the orders that are due."""
+        """Place the orders that are due for all services."""
         if self._keeper.credentials is None or self._registry.age_s() > OLDEST_LIST_S:
             return
         for service in self._services().values():
@@ -123,7 +131,7 @@
                 await self._scale(service.name, service.scaling)
 
     async def _scale(self, service: str, limits: ScalingLimits) -> None:
-        """Give the orders for one service."""
+        """Place the orders that are due for one service."""
         domains = self._listed(service)
         if not domains or not self._is_whole(service, domains):
             return
@@ -137,7 +145,7 @@
                 await self._order(spot, wanted.spot, listed.spot, load)
 
     def _listed(self, service: str) -> dict[str, Listed]:
-        """Return the endpoints that stay, by failure domain."""
+        """Count the listed endpoints that are not leaving, by failure domain."""
         entries = [entry for entry in self._registry.entries() if entry.service == service]
         staying = Counter(
             (state.entry.failure_domain, state.entry.spot)
@@ -145,12 +153,12 @@
             if state.entry.service == service
         )
         names = self._domains.setdefault(service, set())
-        # One that has lost all of its endpoints still gets orders.
+        # A failure domain that has lost all of its endpoints still gets orders.
         names.update(entry.failure_domain for entry in entries)
         return {name: Listed(staying[name, False], staying[name, True]) for name in sorted(names)}
 
     def _is_whole(self, service: str, domains: dict[str, Listed]) -> bool:
-        """Return whether the list has been seen whole since this node took the lease."""
+        """Return whether the list is known to be complete since this node acquired the lease."""
         if service in self._stood:
             return True
         count = sum(each.on_demand + each.spot for each in domains.values())
@@ -161,7 +169,7 @@
         return self._clock() >= known.since_s + WHOLE_AFTER_S
 
     def _load(self, service: str, domains: dict[str, Listed]) -> Load:
-        """Return the load of a service in endpoints."""
+        """Return the load of a service, as the number of endpoints that it keeps busy."""
         count = sum(each.on_demand + each.spot for each in domains.values())
         self._stood.setdefault(service, count)
         demand = self._sharing.demand
@@ -174,7 +182,7 @@
         )
 
     async def _order(self, subject: Subject, count: int, listed: int, load: Load) -> None:
-        """Give an order if it is due."""
+        """Place an order if it is due and the lease allows the call."""
         if not self._is_due(subject, count, listed):
             return
         with self._keeper.acting(DUTY_CALL_S) as credentials:
@@ -185,7 +193,7 @@
         self._note(subject, count, listed, load, result)
 
     def _is_due(self, subject: Subject, count: int, listed: int) -> bool:
-        """Return whether an order is to be given now."""
+        """Return whether an order is due now."""
         now_s, given = self._clock(), self._given.get(subject)
         if count < listed and now_s < self._taken_s + OBSERVE_S:
             return False
@@ -203,7 +211,7 @@
         load: Load,
         result: Result[None, Problem],
     ) -> None:
-        """Log an order, and note when it may be given again."""
+        """Log an order, and record when it may be repeated."""
         refused = result.failure().detail if isinstance(result, Failure) else ""
         self.refused += bool(refused)
         self.orders += not refused
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter.py
@@ -1,6 +1,7 @@
-"""Decides the reports of usage and sends them, while this node holds the lease.
+"""Decides the usage reports and sends them to the platform, while this node holds the lease.
 
-A report is decided with a renewal of the lease and sent only once the store has that renewal.
+A report is stored with a renewal of the lease and sent only once the store has acknowledged that
+renewal, so that no later holder reports other counts for the same window.
 """
 
 from collections.abc import Callable
@@ -19,18 +20,18 @@
 from springbridge_node.gateway.duties.lease_keeper import LeaseKeeper
 from springbridge_node.gateway.duties.usage_sharing import UsageSharing
 
-# Nodes beside the candidates that hear the true time at each renewal.
+# Number of further nodes that get the true time at each renewal, besides the candidates.
 TIME_RECEIVERS = 8
-# Reports that are sent one after another before anything else is looked at.
+# Most reports that are sent in a row in one step.
 MOST_IN_A_STEP = 4
 
 
 class UsageReporter:
-    """The reports, as far as this node decides or knows them.
+    """The usage reports that this node has decided or learnt of.
 
     Attributes:
-      sent: Reports that the platform took from this node.
-      missed: Reports that this node gave up.
+      sent: Number of reports that the platform accepted from this node.
+      missed: Number of windows that this node gave up without a report.
     """
 
     def __init__(
@@ -43,10 +44,11 @@
         reports_usage: bool = True,
         clock: Callable[[], float] = now_s,
     ) -> None:
-        """Keep the parts.
+        """Start without decided reports.
 
         Args:
-          reports_usage: Whether the platform wants reports; without, nothing is decided.
+          window_s: Length of a usage window, in seconds.
+          reports_usage: Whether the platform wants reports; if not, none are decided.
         """
         self._keeper = keeper
         self._sharing = sharing
@@ -65,14 +67,15 @@
         self.missed = 0
 
     def taken(self, takeover: Takeover) -> None:
-        """Go on from what the holder before this node kept."""
+        """Continue from the state that the previous holder stored."""
         before = takeover.before
         content = self._read(before)
         true_time = self._sharing.true_time
         if content.wall_ahead_s is not None:
             true_time.told(takeover.at_s, before.store_s + content.wall_ahead_s)
         self._wall_ahead_s = true_time.at(takeover.at_s) - before.store_s
-        # What this node decided and the store never had is dropped: others may have decided since.
+        # Reports that this node decided but never got stored are dropped: another holder may have
+        # decided the same windows since.
         own = [each for each in self._ledger.reports() if each.window in self._kept_windows]
         self._ledger = ReportLedger(self._window_s)
         self._ledger.adopt(content.reports, content.next_window)
@@ -98,10 +101,10 @@
         )
 
     def _leave_out(self, takeover: Takeover, content: LeaseContent) -> None:
-        """Pass over what may have been decided and forgotten.
+        """Skip windows whose reports may have been decided and then lost by a restore of the store.
 
-        All that may be forgotten was decided before the store came back, and so before this node
-        first saw the row as it came back.
+        Any lost decision was made before the store was restored from the older copy, and so before
+        this node first saw the restored row.
         """
         if content.era >= takeover.era or _is_first(takeover):
             return
@@ -111,7 +114,7 @@
         self._ledger.pass_over(self._sharing.true_time.at(takeover.seen_s))
 
     def _read(self, before: LeaseReading) -> LeaseContent:
-        """Return what the holder before kept."""
+        """Return the state that the previous holder stored, or an empty one if it is unreadable."""
         if before.row is None or not before.row.content:
             return LeaseContent()
         try:
@@ -121,10 +124,10 @@
             return LeaseContent()
 
     def content(self, era: int) -> bytes:
-        """Decide what is due, and return what the next renewal keeps.
+        """Decide the reports that are due, and return the state to store with the next renewal.
 
         Args:
-          era: Era of the store that the renewal is for.
+          era: Era of the store to which the renewal is written.
         """
         if not self._reports_usage:
             return lease_content.to_bytes(LeaseContent())
@@ -157,7 +160,7 @@
         )
 
     def renewed(self) -> None:
-        """Note that the store has what content() returned, and tell the other candidates."""
+        """Mark what content() returned as stored, and send it to the other candidates."""
         self._kept_windows, self._kept_next = self._pending, self._pending_next
         reports = [report for report in self._ledger.reports() if not report.sent]
         addresses = [member.peer_address for member in self._candidates.others()]
@@ -165,14 +168,14 @@
         self._sharing.tell_time(TIME_RECEIVERS)
 
     async def step(self) -> None:
-        """Send the reports that are decided and not sent, each at most once."""
+        """Try to send the stored reports that are still unsent, each at most once in this step."""
         unsent = self._ledger.unsent(self._sharing.true_s())
         kept = [report for report in unsent if report.window in self._kept_windows]
         for report in kept[:MOST_IN_A_STEP]:
             await self._send(report)
 
     async def _send(self, report: Report) -> None:
-        """Send a report, unless this node may not."""
+        """Send a report, unless the lease does not allow the call."""
         with self._keeper.acting(DUTY_CALL_S) as credentials:
             if credentials is None:
                 return
@@ -187,5 +190,5 @@
 
 
 def _is_first(takeover: Takeover) -> bool:
-    """Return whether nobody has held the lease before: no row, and no older copy that lost one."""
+    """Return whether this is the first holder ever: no row, and no restore that lost one."""
     return takeover.before.row is None and takeover.era == 0
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_sharing.py
@@ -1,8 +1,8 @@
-"""Counts the requests that endpoints began for this node, and tells the candidates for the lease.
+"""Counts the requests that endpoints began for this node, and sends the counts to the candidates.
 
-What is told is how much there is so far, so that lost messages do no harm: a count is told again
-for RESEND_S after it changed, and all counts of a window for SETTLE_S after its end. A candidate
-that is new is told all that is kept.
+The candidates for the lease get running totals, so that a lost message is made up for by the next
+one: a count is resent for RESEND_S after it changed, and all counts of a window for SETTLE_S after
+its end. A new candidate gets all counts that are kept.
 """
 
 from collections.abc import Callable, Iterator
@@ -26,22 +26,22 @@
 from springbridge_node.gateway.duties.lease_candidates import LeaseCandidates
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 
-# Seconds between two messages. A node that is lost takes the counts of that time along.
+# Seconds between two messages. The counts of this time are lost if the node crashes.
 TELL_S = 0.5
-# Seconds for which a changed count is told again: three messages.
+# Seconds for which a changed count is resent: three messages.
 RESEND_S = 1.6
-# Customers in one datagram, some 20 bytes each.
+# Most customers in one datagram, some 20 bytes each.
 CUSTOMERS_PER_DATAGRAM = 100
 
 
 class UsageSharing:
-    """The counts of this node, and those that nodes told it as a candidate.
+    """The usage counts of this node, and those that it received as a candidate.
 
     Attributes:
-      true_time: The time of day as this node knows it.
-      usage: Requests of all nodes that told this one.
-      demand: Work of all nodes that told this one.
-      heard: Reports that holders decided, as far as they told of them.
+      true_time: This node's estimate of the time of day.
+      usage: Requests of all nodes whose counts were received.
+      demand: Work of all nodes whose counts were received.
+      heard: Reports that holders decided and sent to this node, by window.
     """
 
     def __init__(
@@ -69,30 +69,30 @@
         self.heard: dict[int, Report] = {}
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Start to tell and to be told."""
+        """Start sending and receiving counts."""
         self._datagrams = datagrams
         datagrams.handle(Kind.USAGE, self._take_usage)
         datagrams.handle(Kind.DUTY_NEWS, self._take_news)
 
     def true_s(self) -> float:
-        """Return the true time of this moment."""
+        """Return the current true time, in seconds since the start of 1970."""
         return self.true_time.at(self._clock())
 
     def sent(self, admitted: Admitted) -> None:
-        """Count the work of a request that is sent to endpoints."""
+        """Add the work of a request that is sent to endpoints, in prompt tokens."""
         arrival = admitted.arrival
         work = request_work(arrival.prompt_tokens, arrival.answer_tokens)
         self._work[admitted.service.name] = self._work.get(admitted.service.name, 0) + work
 
     def began(self, customer: str) -> None:
-        """Count a request that an endpoint began."""
+        """Count a request of a customer that an endpoint began."""
         true_s = self.true_s()
         self._own.began(customer, true_s)
         window = window_at(true_s, self._own.window_s)
         self._changed_s[(window, customer)] = self._clock()
 
     async def step(self) -> None:
-        """Tell the candidates what they may not know yet."""
+        """Send the candidates the counts that they may lack, and expire old ones."""
         self.true_time.look(self._clock(), self._wall())
         self._forget()
         receivers = {member.incarnation: member for member in self._candidates.others()}
@@ -109,19 +109,19 @@
             self.demand.take(self._incarnation, service, total)
 
     def tell_news(self, reports: list[Report], addresses: list[str]) -> None:
-        """Tell nodes the true time, and what was decided."""
+        """Send nodes the true time and the decided reports."""
         if self._datagrams is not None and addresses:
             self._datagrams.send(
                 Kind.DUTY_NEWS, duty_rows.news_rows(self.true_s(), reports), addresses
             )
 
     def tell_time(self, nodes: int) -> None:
-        """Tell some nodes, chosen at random, the true time."""
+        """Send the true time to some nodes, chosen at random."""
         if self._datagrams is not None:
             self.tell_news([], self._datagrams.sample_peers(nodes))
 
     def _news(self) -> Iterator[WindowCounts]:
-        """Return the counts that candidates may not know yet, by window."""
+        """Return the counts that candidates may lack, by window."""
         recent_s, true_s = self._clock() - RESEND_S, self.true_s()
         for each in self._own.windows():
             over_s = true_s - window_end_s(each.window, self._own.window_s)
@@ -137,7 +137,7 @@
                 yield WindowCounts(each.window, changed)
 
     def _tell(self, windows: list[WindowCounts], addresses: list[str]) -> None:
-        """Send counts, and the work so far, in as many datagrams as it takes."""
+        """Send counts and the total work, in as many datagrams as needed."""
         if self._datagrams is None or not addresses or not (windows or self._work):
             return
         parts = [part for each in windows for part in _parts(each)]
@@ -146,7 +146,7 @@
             self._datagrams.send(Kind.USAGE, told, addresses)
 
     def _take_usage(self, rows: list, sender: str) -> None:
-        """Take in what a node counted."""
+        """Merge the counts that a node sent."""
         told, work = duty_rows.read_usage(rows)
         if told is not None:
             self.usage.take(told)
@@ -154,14 +154,14 @@
             self.demand.take(work.incarnation, service, total)
 
     def _take_news(self, rows: list, sender: str) -> None:
-        """Take in what the holder tells."""
+        """Apply the true time and the reports that the holder sent."""
         news = duty_rows.read_news(rows)
         self.true_time.told(self._clock(), news.true_s)
         for report in news.reports:
             self.heard.setdefault(report.window, report)
 
     def _forget(self) -> None:
-        """Drop what is too old to matter."""
+        """Drop counts and reports that are too old to be used."""
         true_s = self.true_s()
         self._own.forget(true_s)
         first = window_at(true_s - KEPT_S, self._own.window_s)
@@ -173,7 +173,7 @@
 
 
 def _parts(whole: WindowCounts) -> Iterator[WindowCounts]:
-    """Return the counts of a window in parts that fit into a datagram."""
+    """Split the counts of a window into parts that fit into a datagram."""
     items = list(whole.counts.items())
     for start in range(0, len(items), CUSTOMERS_PER_DATAGRAM):
         yield WindowCounts(whole.window, dict(items[start : start + CUSTOMERS_PER_DATAGRAM]))
