--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower.py
@@ -30,14 +30,14 @@
 from springbridge_node.gateway.config.dependency import Dependency
 from springbridge_node.gateway.config.platform_store import (
     ConfigurationDocument,
-    ConfigurationReader,
+    ConfigurationParser,
     PlatformStore,
 )
 from springbridge_node.gateway.config.source import Source
 from springbridge_node.gateway.config.store_readers import StoreReaders
 from springbridge_node.periodic import next_tick, pause
 
-Installed = Callable[[RouteIndex, Source], None]
+OnInstalled = Callable[[RouteIndex, Source], None]
 FetchFromPeers = Callable[[int], Awaitable[ConfigurationDocument | None]]
 
 
@@ -52,27 +52,27 @@
     def __init__(
         self,
         store: PlatformStore,
-        read: ConfigurationReader,
-        installed: Installed,
+        parse: ConfigurationParser,
+        on_installed: OnInstalled,
         readers: StoreReaders,
         clock: Callable[[], float] = now_s,
-        evacuations: Callable[[int, EvacuationNews], None] = lambda stamp, news: None,
+        on_evacuations: Callable[[int, EvacuationNews], None] = lambda cursor, evacuations: None,
     ) -> None:
         """Start without a configuration.
 
         Args:
-          read: Parses an operators' document.
-          installed: Called with each new version and its origin.
+          parse: Parses an operators' document.
+          on_installed: Called with each new version and its origin.
           readers: Tells whether this node reads the store on behalf of the fleet.
-          evacuations: Called with the cursor and the evacuations of each successful read of the
+          on_evacuations: Called with the cursor and the evacuations of each successful read of the
             store.
         """
         self._store = store
-        self._read = read
-        self._installed = installed
+        self._parse = parse
+        self._on_installed = on_installed
         self._readers = readers
         self._clock = clock
-        self._evacuations = evacuations
+        self._on_evacuations = on_evacuations
         self._feed_is_up = False
         self._unreadable = ""
         self._confirmed_s = float("-inf")
@@ -106,7 +106,7 @@
         """Return the seconds since the version in force was last known to be the newest."""
         return 0.0 if self._feed_is_up else self._clock() - self._confirmed_s
 
-    def due_s(self) -> float:
+    def retry_after_s(self) -> float:
         """Return the Retry-After for a node without a configuration, in seconds.
 
         An outage lasts for seconds, and many callers retry only once.
@@ -123,7 +123,7 @@
         if document.version <= self.version:
             return
         try:
-            index = RouteIndex.from_config(self._read(document.raw))
+            index = RouteIndex.from_config(self._parse(document.raw))
         except (ValueError, KeyError, TypeError) as exc:
             logs.event("configuration.unreadable", version=document.version, kind=str(exc))
             return
@@ -131,7 +131,7 @@
         self.document = document
         self.index = index
         logs.event("configuration.installed", version=self.version, before=before, source=source)
-        self._installed(index, source)
+        self._on_installed(index, source)
 
     async def run(self) -> None:
         """Keep the configuration up to date until cancelled."""
@@ -167,7 +167,7 @@
     def _has_to_read(self) -> bool:
         """Return whether this node has to read the store now."""
         if self.index is None:
-            return not self._readers.seeds_come_first()
+            return not self._readers.waits_for_seeds()
         turn_s = self._readers.turn_s(FEED_READERS)
         return reads_configuration(
             self.age_s(), turn_s, is_reader=self._readers.include_me(FEED_READERS)
@@ -190,26 +190,26 @@
 
     async def _follow(self) -> None:
         """Read the newest version; a reader then long-polls the feed until a call fails."""
-        cursor = self._take(await self._store.read_configuration())
+        cursor = self._apply_result(await self._store.read_configuration())
         while cursor is not None and self._readers.include_me(FEED_READERS):
             self._feed_is_up = True
-            cursor = self._take(await self._store.await_configuration(cursor, FEED_WAIT_S))
+            cursor = self._apply_result(await self._store.await_configuration(cursor, FEED_WAIT_S))
 
-    def _take(self, result) -> int | None:
+    def _apply_result(self, result) -> int | None:
         """Apply the result of a read or of a long poll.
 
         Returns:
           The cursor of the next long poll, or None if the whole configuration must be read again.
         """
         match result:
-            case Success(news):
+            case Success(update):
                 self._dependency.answered()
                 self._confirmed_s = self._clock()
-                self._note_unreadable(news.unreadable)
-                self._evacuations(news.cursor, news.evacuations)
-                if news.document is not None:
-                    self.offer(news.document, Source.STORE)
-                return news.cursor
+                self._log_unreadable(update.unreadable)
+                self._on_evacuations(update.cursor, update.evacuations)
+                if update.document is not None:
+                    self.offer(update.document, Source.STORE)
+                return update.cursor
             case Failure(problem):
                 self._feed_is_up = False
                 if problem.code is Code.VERSION_CONFLICT:
@@ -218,7 +218,7 @@
                     self._dependency.failed(problem.detail)
                 return None
 
-    def _note_unreadable(self, reason: str) -> None:
+    def _log_unreadable(self, reason: str) -> None:
         """Log a configuration without a readable version, once until the reason changes."""
         if reason and reason != self._unreadable:
             logs.event("configuration.unreadable", version=0, kind=reason)
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -13,7 +13,10 @@
 
 from springbridge_node import logs
 from springbridge_node.gateway.config.configuration_follower import ConfigurationFollower
-from springbridge_node.gateway.config.platform_store import ConfigurationDocument, ConfigurationNews
+from springbridge_node.gateway.config.platform_store import (
+    ConfigurationDocument,
+    ConfigurationUpdate,
+)
 from springbridge_node.gateway.config.source import Source
 
 VERSION = 3
@@ -33,7 +36,7 @@
         self.reads += 1
         if not self.up:
             return Failure(Problem(Code.TABLE_UNAVAILABLE, "down"))
-        return Success(ConfigurationNews(1, document(VERSION)))
+        return Success(ConfigurationUpdate(1, document(VERSION)))
 
     async def await_configuration(self, cursor, wait_s):
         """Wait longer than any test runs."""
@@ -54,7 +57,7 @@
         """Return the set value."""
         return self.reads_for_all
 
-    def seeds_come_first(self):
+    def waits_for_seeds(self):
         """Return the set value."""
         return self.is_starting
 
@@ -245,7 +248,7 @@
     starting = run(Store(), Readers(is_starting=True), clock)
     waiting = run(silent, Readers(), clock)
     assert_that((starting.index, waiting.index), Equals((None, None)))
-    assert_that(waiting.due_s(), GreaterThan(2 * starting.due_s()))
+    assert_that(waiting.retry_after_s(), GreaterThan(2 * starting.retry_after_s()))
 
 
 def test_history_that_the_store_has_lost_leaves_a_line(clock, monkeypatch):
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower.py
@@ -79,15 +79,15 @@
       capacities: Returns the token capacity of an endpoint by service.
       fetch: Returns the list of the peer at an address, or of any peer for None; None if no peer
         returns one.
-      changed: Called when this node has read a changed list from the store.
-      regained: Called when the store answers again after a failure.
+      on_changed: Called when this node has read a changed list from the store.
+      on_regained: Called when the store answers again after a failure.
       cold_services: Returns the services whose cold endpoints have a limited request rate.
     """
 
     capacities: Callable[[], dict[str, int]]
     fetch: FetchSnapshot
-    changed: Callable[[], None]
-    regained: Callable[[], None]
+    on_changed: Callable[[], None]
+    on_regained: Callable[[], None]
     cold_services: Callable[[], Collection[str]] = tuple
 
 
@@ -128,21 +128,21 @@
         self.dependency = Dependency("store")
         self.unreadable = UnreadableEntryLog()
 
-    def seen(self) -> SnapshotStatus:
+    def snapshot_status(self) -> SnapshotStatus:
         """Return fingerprint and age of the list in use, for digests to peers."""
         return SnapshotStatus(self._registry.fingerprint, min(OLDEST_AGE_S, self._registry.age_s()))
 
     async def step(self) -> None:
         """Read or fetch the list if that is due, then wait for one interval."""
-        if self._readers.seeds_come_first() and await self._has_list_of_a_seed():
+        if self._readers.waits_for_seeds() and await self._can_rely_on_seeds():
             await next_tick(LOOK_S)
-        elif self._readers.include_me(SNAPSHOT_READERS) or await self._has_to_stand_in():
+        elif self._readers.include_me(SNAPSHOT_READERS) or await self._must_read_for_readers():
             await self._read_store()
             await asyncio.sleep(self._interval_s)
         else:
             await next_tick(LOOK_S)
 
-    async def _has_list_of_a_seed(self) -> bool:
+    async def _can_rely_on_seeds(self) -> bool:
         """Return whether a starting node need not read the store.
 
         It need not while its list is confirmed, or while a seed may still return one.
@@ -151,13 +151,13 @@
             aged = await self._hooks.fetch(None)
             if aged is not None:
                 self._install(aged, Source.SEED)
-        return is_confirmed(self._registry.age_s()) or self._readers.seeds_come_first()
+        return is_confirmed(self._registry.age_s()) or self._readers.waits_for_seeds()
 
-    async def _has_to_stand_in(self) -> bool:
+    async def _must_read_for_readers(self) -> bool:
         """Return whether this node must read the store: no peer confirms or returns the list."""
         own = SnapshotStatus(self._registry.fingerprint, self._registry.age_s())
         peer = self._peer_with_youngest()
-        youngest = self._in_own_terms(own, peer.snapshot) if peer else None
+        youngest = self._with_own_fingerprint(own, peer.snapshot) if peer else None
         match compare_with_peer(own, youngest):
             case PeerSnapshot.CONFIRMS:
                 self._registry.confirm(youngest.age_s)
@@ -176,7 +176,7 @@
         snapshot = SnapshotStatus(member.endpoint_snapshot.fingerprint, age_s)
         return _PeerStatus(member.peer_address, snapshot)
 
-    def _in_own_terms(self, own: SnapshotStatus, peer: SnapshotStatus) -> SnapshotStatus:
+    def _with_own_fingerprint(self, own: SnapshotStatus, peer: SnapshotStatus) -> SnapshotStatus:
         """Return a peer's status, with this node's fingerprint if the content is the same.
 
         During a rollout two builds may hash a list differently. Without this each node would fetch
@@ -211,15 +211,15 @@
             case Success(snapshot):
                 self.unreadable.note(snapshot.unreadable)
                 if self._install(AgedSnapshot(snapshot, 0.0), Source.STORE):
-                    self._hooks.changed()
+                    self._hooks.on_changed()
                 if self.dependency.answered():
-                    self._hooks.regained()
+                    self._hooks.on_regained()
             case Failure(problem):
                 self.dependency.failed(problem.detail)
                 self._next_turn_s = self._clock() + self._readers.round_s()
-                await self._ask_any_peer()
+                await self._fetch_from_any_peer()
 
-    async def _ask_any_peer(self) -> None:
+    async def _fetch_from_any_peer(self) -> None:
         """Fetch a list from any peer if the own one is too old, and install it if it is younger."""
         if self._registry.age_s() < ASK_PEERS_AFTER_S:
             return
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -55,7 +55,7 @@
         """Return the set value."""
         return self.reads_for_all
 
-    def seeds_come_first(self):
+    def waits_for_seeds(self):
         """Return that this node is not starting."""
         return False
 
--- a/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigurationNews:
+class ConfigurationUpdate:
     """The result of a read or of a long poll at the feed.
 
     Attributes:
@@ -72,12 +72,12 @@
         Writes of the last seconds may be lost then, and revisions are assigned a second time.
         """
 
-    async def read_configuration(self) -> Result[ConfigurationNews, Problem]:
+    async def read_configuration(self) -> Result[ConfigurationUpdate, Problem]:
         """Return the newest configuration."""
 
     async def await_configuration(
         self, cursor: int, wait_s: float
-    ) -> Result[ConfigurationNews, Problem]:
+    ) -> Result[ConfigurationUpdate, Problem]:
         """Return the next configuration as soon as there is one, or none after wait_s seconds.
 
         Returns:
@@ -104,7 +104,7 @@
         """Delete the record of a request."""
 
 
-class ConfigurationReader(Protocol):
+class ConfigurationParser(Protocol):
     """Parses a configuration as the operators wrote it."""
 
     def __call__(self, raw: bytes) -> Configuration:
--- a/packages/springbridge-node/springbridge_node/gateway/config/store_readers.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers.py
@@ -32,8 +32,8 @@
         self._clock = clock
         self._roles_from_s = clock() + roles_after_s
         self._ranked_version = -1
-        self._kept_rank = 0
-        self._ask_seeds_until_s = clock() + (
+        self._cached_rank = 0
+        self._wait_for_seeds_until_s = clock() + (
             store_freshness.ASK_SEEDS_FIRST_S if asks_seeds_first else 0.0
         )
 
@@ -55,9 +55,9 @@
         """Return the seconds in which each live node gets one turn."""
         return store_freshness.round_s(self._membership.live_count())
 
-    def seeds_come_first(self) -> bool:
+    def waits_for_seeds(self) -> bool:
         """Return whether this node has just started and still waits for its seeds."""
-        return self._clock() < self._ask_seeds_until_s
+        return self._clock() < self._wait_for_seeds_until_s
 
     def _rank(self) -> int:
         """Return how many live nodes are ranked before this one.
@@ -68,7 +68,7 @@
         version = self._membership.live_version()
         if version != self._ranked_version:
             self._ranked_version = version
-            self._kept_rank = store_freshness.rank(
+            self._cached_rank = store_freshness.rank(
                 self._membership.me.incarnation, self._membership.incarnations()
             )
-        return self._kept_rank
+        return self._cached_rank
--- a/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
@@ -55,11 +55,11 @@
 
 def test_only_a_node_that_asks_seeds_first_waits_for_them(clock):
     membership = Membership(Member("n", "n", "", "", "a"), clock, random.Random(1))
-    waits = [StoreReaders(membership, asks, clock).seeds_come_first() for asks in (True, False)]
+    waits = [StoreReaders(membership, asks, clock).waits_for_seeds() for asks in (True, False)]
     assert_that(waits, Equals([True, False]))
     readers = StoreReaders(membership, True, clock)
     clock.now_s += ASK_SEEDS_FIRST_S
-    assert_that(readers.seeds_come_first(), Equals(False))
+    assert_that(readers.waits_for_seeds(), Equals(False))
 
 
 def test_a_node_that_has_just_started_reads_for_nobody_else(clock):
--- a/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine.py
@@ -23,10 +23,10 @@
 
 # Seconds between two checks for rows to write, remove or read. Short compared with the time until a
 # quarantined request is tried again.
-LOOK_S = 1.0
+CHECK_INTERVAL_S = 1.0
 # Most rows that wait to be written, or to be removed. Bounds memory while the store is down. A
 # fraction of the records that a node keeps.
-MOST_WAITING = 64
+MAX_PENDING_ROWS = 64
 
 
 class StoredQuarantine:
@@ -59,14 +59,14 @@
         self._to_remove.pop(fingerprint, None)
         self._removed.pop(fingerprint, None)
         self._to_write[fingerprint] = None
-        _bound(self._to_write)
+        _drop_oldest(self._to_write)
 
     def left(self, fingerprint: str) -> None:
         """Schedule the removal of the row of a request that left quarantine."""
         self._to_write.pop(fingerprint, None)
         self._written.pop(fingerprint, None)
         self._to_remove[fingerprint] = None
-        _bound(self._to_remove)
+        _drop_oldest(self._to_remove)
 
     def expired(self, fingerprint: str) -> None:
         """Schedule the removal of an expired row.
@@ -76,7 +76,7 @@
         if self._readers.include_me(1):
             self.left(fingerprint)
 
-    def write_again(self) -> None:
+    def rewrite_rows(self) -> None:
         """Repeat this node's writes and removals: the store was restored from an older copy."""
         for fingerprint in self._written:
             self.entered(fingerprint)
@@ -91,12 +91,12 @@
             if await self._write(fingerprint):
                 self._to_write.pop(fingerprint, None)
                 self._written[fingerprint] = None
-                _bound(self._written)
+                _drop_oldest(self._written)
         for fingerprint in list(self._to_remove):
-            if _is_done("remove", await self._store.remove_crashes(fingerprint)):
+            if _succeeded("remove", await self._store.remove_crashes(fingerprint)):
                 self._to_remove.pop(fingerprint, None)
                 self._removed[fingerprint] = None
-                _bound(self._removed)
+                _drop_oldest(self._removed)
 
     async def _write(self, fingerprint: str) -> bool:
         """Write the row of a request; return whether it needs no further attempt."""
@@ -104,12 +104,12 @@
         if record is None:
             return True
         stored = StoredCrashes(fingerprint, tuple(record.counted), tuple(record.failed_trials))
-        return _is_done("write", await self._store.write_crashes(stored))
+        return _succeeded("write", await self._store.write_crashes(stored))
 
     async def _read(self) -> None:
         """Read the rows of the store and merge them into the records."""
         found = await self._store.read_crashes()
-        if not _is_done("read", found):
+        if not _succeeded("read", found):
             return
         self._was_read = True
         for stored in found.unwrap():
@@ -119,7 +119,7 @@
             self._adopt(ToldRecord(stored.fingerprint, crashes))
 
 
-def _is_done(call: str, result: Result[object, Problem]) -> bool:
+def _succeeded(call: str, result: Result[object, Problem]) -> bool:
     """Return whether a call to the store succeeded, and log a failure."""
     match result:
         case Success(_):
@@ -129,7 +129,7 @@
     return False
 
 
-def _bound(waiting: dict[str, None]) -> None:
-    """Drop the oldest entry beyond MOST_WAITING."""
-    if len(waiting) > MOST_WAITING:
+def _drop_oldest(waiting: dict[str, None]) -> None:
+    """Drop the oldest entry beyond MAX_PENDING_ROWS."""
+    if len(waiting) > MAX_PENDING_ROWS:
         del waiting[next(iter(waiting))]
--- a/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine_steps_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine_steps_test.py
@@ -59,7 +59,7 @@
 
 def test_a_row_that_an_older_copy_lacks_is_written_again(quarantine, rows):
     rows.fingerprints.clear()
-    quarantine.write_again()
+    quarantine.rewrite_rows()
     asyncio.run(quarantine.step())
     assert_that(rows.fingerprints, Equals({"f"}))
 
@@ -69,7 +69,7 @@
     quarantine.left("f")
     asyncio.run(quarantine.step())
     rows.fingerprints.add("f")
-    quarantine.write_again()
+    quarantine.rewrite_rows()
     asyncio.run(quarantine.step())
     assert_that(rows.fingerprints, Equals(set()))
 
@@ -79,6 +79,6 @@
     asyncio.run(quarantine.step())
     quarantine.entered("f")
     asyncio.run(quarantine.step())
-    quarantine.write_again()
+    quarantine.rewrite_rows()
     asyncio.run(quarantine.step())
     assert_that(rows.fingerprints, Equals({"f"}))
--- a/packages/springbridge-node/springbridge_node/gateway/config/unreadable_entries.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/unreadable_entries.py
@@ -13,7 +13,7 @@
 
 # Number of logged entries that are remembered, the latest ones. More than the endpoints of a large
 # fleet, so that a wholly unreadable list is logged once.
-REMEMBERED = 2000
+MAX_REMEMBERED = 2000
 
 
 class UnreadableEntryLog:
@@ -26,16 +26,16 @@
     def __init__(self) -> None:
         """Start with no entries logged."""
         self.count = 0
-        self._named: OrderedDict[UnreadableEntry, None] = OrderedDict()
+        self._logged: OrderedDict[UnreadableEntry, None] = OrderedDict()
 
     def note(self, entries: Iterable[UnreadableEntry]) -> None:
         """Count the unreadable entries of a list read from the store, and log the new ones."""
         found = tuple(entries)
         self.count = len(found)
         for entry in found:
-            if entry not in self._named:
+            if entry not in self._logged:
                 logs.event("engines.unreadable", key=entry.key, reason=entry.reason)
-            self._named[entry] = None
-            self._named.move_to_end(entry)
-        while len(self._named) > REMEMBERED:
-            self._named.popitem(last=False)
+            self._logged[entry] = None
+            self._logged.move_to_end(entry)
+        while len(self._logged) > MAX_REMEMBERED:
+            self._logged.popitem(last=False)
--- a/packages/springbridge-node/springbridge_node/gateway/config/unreadable_entries_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/unreadable_entries_test.py
@@ -6,7 +6,7 @@
 from testtools.matchers import Equals, HasLength
 
 from springbridge_node import logs
-from springbridge_node.gateway.config.unreadable_entries import REMEMBERED, UnreadableEntryLog
+from springbridge_node.gateway.config.unreadable_entries import MAX_REMEMBERED, UnreadableEntryLog
 
 ENTRY = UnreadableEntry("i-1", "slots: missing", 11)
 CHANGED = UnreadableEntry("i-1", "slots: missing", 12)
@@ -41,10 +41,12 @@
 
 
 def test_it_remembers_a_bounded_number(log, lines):
-    many = [UnreadableEntry(f"i-{number}", "no JSON", number) for number in range(2 * REMEMBERED)]
+    many = [
+        UnreadableEntry(f"i-{number}", "no JSON", number) for number in range(2 * MAX_REMEMBERED)
+    ]
     log.note(many)
     del lines[:]
-    log.note(many[-REMEMBERED:])
+    log.note(many[-MAX_REMEMBERED:])
     assert_that(lines, HasLength(0))
     log.note(many[:1])
     assert_that(lines, HasLength(1))
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -28,7 +28,9 @@
 from springbridge_node.gateway.config.endpoint_follower import EndpointFollower, FollowerHooks
 from springbridge_node.gateway.config.source import Source
 from springbridge_node.gateway.config.store_readers import StoreReaders
-from springbridge_node.gateway.config.stored_quarantine import LOOK_S as QUARANTINE_LOOK_S
+from springbridge_node.gateway.config.stored_quarantine import (
+    CHECK_INTERVAL_S as QUARANTINE_CHECK_INTERVAL_S,
+)
 from springbridge_node.gateway.duties.duty_parts import duty_parts
 from springbridge_node.gateway.endpoints.pool import ConnectionPool
 from springbridge_node.gateway.endpoints.prober import PROBE_INTERVAL_S, EndpointProber
@@ -140,7 +142,7 @@
         logs.event("store.went_back", era=era, config_version=self.configuration.version)
         self.configuration.refresh()
         self.discovery.announce_again()
-        self.quarantine_parts.stored.write_again()
+        self.quarantine_parts.stored.rewrite_rows()
 
     def _configuration_follower(self) -> ConfigurationFollower:
         """Return the part that keeps the configuration fresh."""
@@ -149,7 +151,7 @@
             self._outside.read_configuration,
             self._configuration_installed,
             self.readers,
-            evacuations=self.evacuations.read,
+            on_evacuations=self.evacuations.read,
         )
 
     def _endpoint_follower(self) -> EndpointFollower:
@@ -162,8 +164,8 @@
             FollowerHooks(
                 capacities=self.configuration.token_capacities,
                 fetch=self.peer_client.endpoints,
-                changed=lambda: self.heartbeats.push(),
-                regained=self.configuration.refresh,
+                on_changed=lambda: self.heartbeats.push(),
+                on_regained=self.configuration.refresh,
                 cold_services=self.configuration.cold_services,
             ),
             snapshot_interval_s(self.settings.drain_s),
@@ -173,7 +175,7 @@
         """Return what the router works with."""
         return RouterParts(
             index=lambda: self.configuration.index,
-            configuration_due_s=self.configuration.due_s,
+            configuration_due_s=self.configuration.retry_after_s,
             registry=self.registry,
             pool=self.pool,
             budget=self.budget,
@@ -228,7 +230,7 @@
             every_tick(BEAT_S, self.quarantine_parts.sharing.beat),
             every_tick(BEAT_S, self.rates.beat),
             every_tick(BEAT_S, self.evacuations.beat),
-            every_tick(QUARANTINE_LOOK_S, self.quarantine_parts.stored.step),
+            every_tick(QUARANTINE_CHECK_INTERVAL_S, self.quarantine_parts.stored.step),
             every(DISCOVERY_INTERVAL_S, self.discovery.step, DISCOVERY_DELAY_S),
             every(0.0, self.catch_up.step),
             every_tick(SWEEP_S, self._sweep),
--- a/packages/springbridge-node/springbridge_node/gateway/outside.py
+++ b/packages/springbridge-node/springbridge_node/gateway/outside.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from springbridge_node.gateway.callers.directory import AddressBook
-from springbridge_node.gateway.config.platform_store import ConfigurationReader, PlatformStore
+from springbridge_node.gateway.config.platform_store import ConfigurationParser, PlatformStore
 from springbridge_node.gateway.duties.duty_platform import DutyPlatform
 from springbridge_node.gateway.http.small_server import Handler
 from springbridge_node.gateway.requests.request_codec import RequestCodec
@@ -21,7 +21,7 @@
     """
 
     store: PlatformStore
-    read_configuration: ConfigurationReader
+    read_configuration: ConfigurationParser
     codec: RequestCodec
     ready_handlers: Callable[[Callable[[], bool]], Mapping[str, Handler]]
     directory_handlers: Callable[[AddressBook], Mapping[str, Handler]]
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats.py
@@ -121,5 +121,5 @@
             self._configuration.version,
             min(OLDEST_AGE_S, self._configuration.age_s()),
             not self._endpoints.dependency.up,
-            self._endpoints.seen(),
+            self._endpoints.snapshot_status(),
         )
--- a/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/heartbeats_test.py
@@ -29,7 +29,7 @@
             refresh=lambda: self.calls.append("refresh"),
         )
         self.endpoints = SimpleNamespace(
-            dependency=SimpleNamespace(up=True), seen=lambda: SnapshotStatus(5, 0.0)
+            dependency=SimpleNamespace(up=True), snapshot_status=lambda: SnapshotStatus(5, 0.0)
         )
         self.catch_up = SimpleNamespace(
             wake=lambda: self.calls.append("wake"), wake_if_behind=lambda: None
