--- a/packages/springbridge-node/springbridge_node/gateway/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/__init__.py
@@ -1,5 +1,5 @@
 """The gateway: the program that runs on the platform and routes requests by host and path.
 
-gateway.py joins the parts; the folders follow a request's way: callers, requests, endpoints, with
-peers, config and http beside them.
+gateway.py assembles the parts. A request passes through callers, requests and endpoints in turn;
+peers, config, duties and http support them.
 """
--- a/packages/springbridge-node/springbridge_node/gateway/bounded_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/bounded_log.py
@@ -1,7 +1,7 @@
 """The gateway's log output: JSON lines on standard output that never block the event loop.
 
-Owns the output's limits and what is not written yet. A slow reader of the log, or a flood of lines,
-costs log lines and never a caller's time; the lines lost that way are counted for the metrics.
+Owns the output's limits and its write buffer. If the log is read too slowly, or flooded with lines,
+lines are dropped so that requests are not delayed; dropped lines are counted for the metrics.
 """
 
 import logging
@@ -13,25 +13,24 @@
 
 from springbridge_node import clock, logs
 
-# Log lines a second that are written over a long time. It bounds what a flood of failures costs.
-# Logging as a whole took 3% of the nodes' processor time on a quiet run with 7 nodes and 5% on a
-# busy one.
+# Sustained rate of log lines, per second. Bounds the cost of a flood of failures: all logging takes
+# 3% of the processor time of 7 nodes at low load and 5% at high load.
 LINES_PER_S = 200.0
-# Log lines that may be written at once after a quiet time. Two seconds of LINES_PER_S, so that the
-# first lines of an incident are kept.
+# Most log lines in a burst after a quiet period (token bucket). Two seconds of LINES_PER_S, so that
+# the first lines of an incident are kept.
 LINES_BURST = 400.0
-# Bytes that may wait for the log's reader before further lines are dropped. Small beside a node's
-# 23 MB of memory.
+# Bytes that may be buffered for the log's reader before further lines are dropped. Small compared
+# with a node's 23 MB of memory.
 UNWRITTEN_BYTES = 256 << 10
-# Fields that eliot adds to each message and that no reader of these logs uses.
+# Fields that eliot adds to each message and that are not used in these logs.
 TASK_FIELDS = frozenset({"task_uuid", "task_level"})
 
 
 class _BoundedOutput:
-    """A non-blocking descriptor: lines beyond a rate or for a full pipe are only counted.
+    """A non-blocking file descriptor; lines above the rate or for a full buffer are dropped.
 
     Attributes:
-      dropped: Lines that were not written.
+      dropped: Number of lines that were not written.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -42,13 +41,13 @@
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Write a line, or count it as dropped."""
+        """Write or buffer a line, or count it as dropped."""
         now_s = clock.now_s()
         gained = (now_s - self._filled_s) * LINES_PER_S
         self._allowed = min(LINES_BURST, self._allowed + gained)
         self._filled_s = now_s
         if len(self._unwritten) > UNWRITTEN_BYTES:
-            # Nothing else empties what waits, and the reader may have caught up meanwhile.
+            # Nothing else empties the buffer, and the reader may have caught up meanwhile.
             self.flush()
         if self._allowed < 1 or len(self._unwritten) > UNWRITTEN_BYTES:
             self.dropped += 1
@@ -58,14 +57,14 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the pipe takes now; the rest goes out with a later line."""
+        """Write as much of the buffer as the pipe takes; the rest is written with a later line."""
         try:
             written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
-            # The pipe is full; the lines wait, and write() bounds how many.
+            # The pipe is full; the lines stay buffered, and write() bounds the buffer.
             return
         except OSError:
-            # The reader of the log is gone; the count is for the metrics.
+            # The reader of the log is gone; the buffered lines are counted as dropped.
             written = len(self._unwritten)
             self.dropped += self._unwritten.count(b"\n")
         self._unwritten = self._unwritten[written:]
@@ -75,7 +74,7 @@
 
 
 def start(instance: str) -> None:
-    """Send all events to standard output as JSON lines, without ever waiting for its reader."""
+    """Send all events to standard output as JSON lines, without blocking on its reader."""
     global _output
     os.set_blocking(sys.stdout.fileno(), False)
     _output = _BoundedOutput(sys.stdout.fileno())
@@ -85,11 +84,11 @@
 
 
 def _write_line(message: dict) -> None:
-    """Write one of eliot's messages as a line."""
+    """Write one message of eliot as a line of JSON."""
     fields = {name: value for name, value in message.items() if name not in TASK_FIELDS}
     _output.write(orjson.dumps(fields, default=str).decode() + "\n")
 
 
 def dropped() -> int:
-    """Return how many lines were not written since the start."""
+    """Return the number of lines dropped since the start."""
     return _output.dropped if _output is not None else 0
--- a/packages/springbridge-node/springbridge_node/gateway/conftest.py
+++ b/packages/springbridge-node/springbridge_node/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the gateway's tests: drawn fleets with real parts, in virtual time."""
+"""Fixtures of the gateway's tests: simulated fleets of real parts, in virtual time."""
 
 import asyncio
 import random
@@ -10,13 +10,13 @@
 
 from springbridge_node import logs
 
-# Seconds until instances grant and have been granters for long.
+# Seconds until the instances have been granters for long enough to grant permits.
 SETTLED_S = 4.0
 
 
 @pytest.fixture
 def with_instances():
-    """Return a function that runs a test's coroutine on a drawn fleet."""
+    """Return a function that runs a test's coroutine on a simulated fleet."""
 
     def run(body, size, endpoints=1, loss=0.0):
         async def play():
--- a/packages/springbridge-node/springbridge_node/gateway/early_signals.py
+++ b/packages/springbridge-node/springbridge_node/gateway/early_signals.py
@@ -1,15 +1,14 @@
-"""Signals that arrive while the program is still being loaded.
+"""Handles signals that arrive while the program's modules are still being imported.
 
-This module is imported before all others, so it imports next to nothing itself.
+This module is imported before all others, so it imports almost nothing itself.
 """
 
 import signal
 
 
 def ignore_reload() -> None:
-    """Ignore SIGHUP, whose default action would end the process while it loads its libraries.
+    """Ignore SIGHUP, whose default action would end the process during its imports.
 
-    Nothing is missed: the node reads its settings after that, and handles the signal itself once it
-    runs.
+    No reload is lost: the node reads its settings afterwards, and handles the signal once it runs.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -1,6 +1,7 @@
-"""A node that routes by host and path: joins its parts and runs the tasks that keep them fresh.
+"""Assembles a node that routes by host and path, and runs its listeners and periodic tasks.
 
-Relies on the ports in Outside for all that is the platform's: store, formats and small interfaces.
+Everything specific to the platform (store, formats, small interfaces) comes through the ports in
+Outside.
 """
 
 import asyncio
@@ -60,8 +61,8 @@
 from springbridge_node.gateway.telemetry import Telemetry
 from springbridge_node.periodic import every, every_tick
 
-# Seconds between two clean-ups of what belongs to endpoints and peers that are gone. It bounds
-# memory and idle connections, and no decision waits for it.
+# Seconds between two clean-ups of the state of endpoints and peers that are gone. They bound memory
+# and idle connections; no decision depends on them.
 SWEEP_S = 2.0
 LEAVING = Problem(Code.NODE_LEAVING, "planned stop", retry_after_s=while_leaving())
 
@@ -72,20 +73,20 @@
     Attributes:
       settings: The settings in force; reload() replaces them.
       membership: The nodes of the fleet, this one included.
-      registry: The endpoints and what is known of each.
-      configuration: The configuration in force.
-      endpoints: What keeps the endpoint list in the registry fresh.
-      rates: What keeps to the rates that endpoints name.
-      evacuations: Which failure domains get nothing, as the operators ask.
-      budget: This node's share of the retries that all nodes may make together.
+      registry: The endpoints and the state of each.
+      configuration: Follows and holds the configuration in force.
+      endpoints: Keeps the endpoint list in the registry up to date.
+      rates: Enforces the request rates that endpoints announce.
+      evacuations: The failure domains that operators evacuate; their endpoints get no requests.
+      budget: This node's share of the fleet's retry budget.
       router: Serves the requests.
       listener: Accepts the callers' connections.
-      duties: What one node does for the whole fleet; None if there is nothing.
-      store_steps: How often the store was found to have come back from an older copy.
+      duties: Duties that one node performs for the whole fleet; None if there are none.
+      store_steps: Number of times the store was found restored from an older copy.
     """
 
     def __init__(self, settings: GatewaySettings, outside: Outside) -> None:
-        """Join the parts; nothing is started yet."""
+        """Create and connect the parts; nothing is started yet."""
         self.settings = settings
         self._outside = outside
         self.telemetry = Telemetry()
@@ -137,7 +138,7 @@
         outside.store.on_older_copy(self._store_went_back)
 
     def _store_went_back(self, era: int) -> None:
-        """Read anew, and write again what the store may have lost."""
+        """Read the configuration again, and repeat writes that the store may have lost."""
         self.store_steps += 1
         logs.event("store.went_back", era=era, config_version=self.configuration.version)
         self.configuration.refresh()
@@ -145,7 +146,7 @@
         self.quarantine_parts.stored.rewrite_rows()
 
     def _configuration_follower(self) -> ConfigurationFollower:
-        """Return the part that keeps the configuration fresh."""
+        """Create the part that keeps the configuration up to date."""
         return ConfigurationFollower(
             self._outside.store,
             self._outside.read_configuration,
@@ -155,7 +156,7 @@
         )
 
     def _endpoint_follower(self) -> EndpointFollower:
-        """Return the part that keeps the endpoint list fresh."""
+        """Create the part that keeps the endpoint list up to date."""
         return EndpointFollower(
             self._outside.store,
             self.registry,
@@ -172,7 +173,7 @@
         )
 
     def _router_parts(self) -> RouterParts:
-        """Return what the router works with."""
+        """Return the dependencies of the router."""
         return RouterParts(
             index=lambda: self.configuration.index,
             configuration_due_s=self.configuration.retry_after_s,
@@ -198,7 +199,7 @@
         self._tasks = [asyncio.ensure_future(work) for work in self._periodic_work()]
 
     def _open_listeners(self) -> None:
-        """Accept connections at all addresses of this node."""
+        """Accept connections on all addresses of this node."""
         addresses = self.settings.addresses
         book = AddressBook(self.membership, address_ttl_s(self.settings.longest_ttl_s))
         serve_small(addresses.ready, self._outside.ready_handlers(self.is_ready))
@@ -208,7 +209,7 @@
         self.listener.listen(addresses.callers, CallerLimits())
 
     async def _open_datagrams(self) -> None:
-        """Open the socket for datagrams, and connect the parts that use it."""
+        """Open the datagram socket and connect the parts that use it."""
         self.datagrams = await PeerDatagrams.open(
             self.membership, self.settings.ip, self.settings.gossip_port
         )
@@ -221,7 +222,7 @@
             self.duties.connect(self.datagrams)
 
     def _periodic_work(self) -> tuple[Coroutine[None, None, None], ...]:
-        """Return the work of all tasks, none of which ends by itself."""
+        """Return the coroutines of all tasks, none of which ends by itself."""
         return (
             self.configuration.run(),
             every(0.0, self.endpoints.step),
@@ -238,7 +239,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether this node is ready to serve callers."""
         return is_ready(
             is_live=self.membership.is_live(),
             has_configuration=self.configuration.index is not None,
@@ -246,7 +247,7 @@
         )
 
     def leave(self) -> None:
-        """Begin a planned stop: notify the peers, and let connections end with their answers."""
+        """Begin a planned stop: notify the peers, and close connections after their answers."""
         self.membership.leave()
         self.heartbeats.push_now()
         self.listener.close_after_answers()
@@ -257,7 +258,7 @@
         self.listener.stop_accepting()
 
     async def hand_on_duties(self) -> None:
-        """Hand on what this node does for the whole fleet."""
+        """Release the lease of the duties, so that another node takes over."""
         if self.duties is not None:
             await self.duties.leave()
 
@@ -269,13 +270,13 @@
             await self.duties.sharing.step()
         for task in self._tasks:
             task.cancel()
-        # Periodic steps log their own faults; what is left here is the cancellation.
+        # Periodic steps log their own faults; only the cancellations are left here.
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self.datagrams is not None:
             self.datagrams.close()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Apply changed settings, except addresses, which stay as they were at the start."""
+        """Apply changed settings, except addresses, which are fixed at the start."""
         self.settings = replace(settings, addresses=self.settings.addresses)
         self.budget.terms = settings.budget
         self.membership.set_listed(settings.seeds)
@@ -289,22 +290,22 @@
             await self.router.serve(request, answer)
 
     def _metrics(self, query: dict[str, str]) -> Reply:
-        """Return the metrics as text, with the gauges as they are now."""
+        """Return the metrics as text, after an update of the gauges."""
         set_gauges(self)
         return Reply(200, self.telemetry.text(), TEXT)
 
     def live_nodes(self) -> int:
-        """Return how many nodes share the retry budget and the connections to endpoints."""
+        """Return the number of nodes that share the retry budget and the endpoints' connections."""
         return max(1, self.membership.live_count())
 
     def _configuration_installed(self, index: RouteIndex, source: Source) -> None:
-        """Apply the new limits to callers, and push a version that the store delivered."""
+        """Apply the new limits to callers, and push a version read from the store to peers."""
         self.listener.apply(index.configuration.limits)
         if source is Source.STORE:
             self.heartbeats.push()
 
     async def _sweep(self) -> None:
-        """Drop what belongs to endpoints and peers that are gone."""
+        """Drop the state and connections of endpoints and peers that are gone."""
         known = self.registry.known_incarnations()
         self.pool.keep_only(known)
         self.rates.forget_gone(known)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway, checked before anything starts."""
+"""Settings of the gateway, validated before anything starts."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """Where a node listens, each an IP number and port; an empty one is not served.
+    """Addresses on which a node listens, each IP:port; an empty one is not served.
 
     Attributes:
-      callers: Callers' requests.
-      ready: The platform's readiness check.
-      directory: Callers that ask which nodes to use.
-      peers: Peers that fetch a configuration or an endpoint list.
-      metrics: The metrics.
+      callers: For callers' requests.
+      ready: For the platform's readiness check.
+      directory: For callers that look up the nodes to use.
+      peers: For peers that fetch the configuration or the endpoint list.
+      metrics: For scrapes of the metrics.
     """
 
     callers: str
@@ -26,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DutySettings:
-    """Which duties of the whole fleet its nodes do, one node at a time.
+    """The duties that one node at a time performs for the whole fleet.
 
     Attributes:
-      reports_usage: Whether usage is reported.
-      orders_endpoints: Whether endpoints are ordered.
-      window_s: Length of a window of usage, in seconds.
-      no_return_s: Seconds within which a node must not get a duty back that another one had.
+      reports_usage: Whether usage is reported to the platform.
+      orders_endpoints: Whether endpoints are ordered from the platform.
+      window_s: Length of a usage window, in seconds.
+      no_return_s: Seconds within which a duty must not return to a node after another node had it.
     """
 
     reports_usage: bool = False
@@ -42,7 +42,7 @@
 
     @property
     def has_any(self) -> bool:
-        """Return whether there is any duty."""
+        """Return whether any duty is enabled."""
         return self.reports_usage or self.orders_endpoints
 
 
@@ -52,13 +52,13 @@
 
     Attributes:
       gossip_port: Port for datagrams between nodes, the same on all of them.
-      seeds: Peer addresses to start with. They may be stale, and this node's own may be among them.
-      budget: How many retries all nodes together may make.
+      seeds: Peer addresses to contact first. They may be stale, and may include this node's own.
+      budget: Retry budget of all nodes together.
       grace_s: Time between the signal of a planned stop and the kill, in seconds.
-      longest_ttl_s: Longest time for which callers may keep an answer of the directory, in seconds.
-      drain_s: Time within which requests must stop reaching an endpoint that leaves, in seconds.
-      first_start: Whether the whole fleet starts now, for the first time.
-      duties: What one node does for the whole fleet.
+      longest_ttl_s: Longest time for which callers may cache a directory answer, in seconds.
+      drain_s: Time within which a leaving endpoint must stop receiving requests, in seconds.
+      first_start: Whether the whole fleet is starting for the first time.
+      duties: Duties that one node performs for the whole fleet.
     """
 
     name: str
@@ -75,7 +75,7 @@
     duties: DutySettings = DutySettings()
 
     def __post_init__(self) -> None:
-        """Check the values.
+        """Validate the values.
 
         Raises:
           ValueError: A value is missing or out of range; the message names it.
@@ -93,20 +93,20 @@
 
     @property
     def other_seeds(self) -> tuple[str, ...]:
-        """Return the seeds that are not this node."""
+        """Return the seeds other than this node."""
         return tuple(seed for seed in self.seeds if seed != self.addresses.peers)
 
     @property
     def asks_seeds_first(self) -> bool:
         """Return whether this node asks its seeds before the store when it starts.
 
-        When a whole fleet starts, the seeds read the store and the others wait for them.
+        When a whole fleet starts, the seeds read the store and the other nodes wait for them.
         """
         return self.first_start and self.addresses.peers not in self.seeds
 
 
 def _check_address(name: str, address: str) -> None:
-    """Check that an address is an IP number and a port."""
+    """Raise ValueError unless an address has the form IP:port."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"addresses.{name}: {address!r} is not an IP number and a port")
--- a/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
@@ -1,7 +1,7 @@
-"""Start, planned stop and reload of a node process.
+"""Runs a node process: start, reload of the settings, planned stop.
 
-Owns the process's signals and the settings file's changes. Relies on routing/planned_stop.py for
-the times of a planned stop, and on the gateway for its steps.
+Owns the signal handlers and watches the settings file. routing/planned_stop.py has the times of a
+planned stop, and the gateway its steps.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 from springbridge_node.gateway.gateway_settings import GatewaySettings
 from springbridge_node.periodic import pause
 
-# Seconds between two checks whether the last answer is out. A stop takes hardly longer than its
-# answers.
+# Seconds between two checks whether the last answer has been sent. Short, so that a stop takes
+# hardly longer than its answers.
 POLL_S = 0.02
-# Seconds between two looks at the settings file. SIGHUP asks for a reload at once, so this only
-# bounds how long a change without the signal waits.
+# Seconds between two checks of the settings file. SIGHUP triggers a reload at once, so this only
+# bounds the delay of a change without the signal.
 SETTINGS_POLL_S = 1.0
 
-# What a settings file raises that cannot be read, lacks a value or has one of another shape.
+# Exceptions from a settings file that is unreadable, lacks a value or has a value of another type.
 UNUSABLE = (ValueError, KeyError, OSError, TypeError, IndexError, AttributeError)
 
 Load = Callable[[], GatewaySettings]
@@ -32,7 +32,7 @@
 
 @contextlib.asynccontextmanager
 async def running(gateway: Gateway) -> AsyncIterator[Gateway]:
-    """Run a gateway's tasks within a context."""
+    """Start a gateway, and end it when the context exits."""
     await gateway.start()
     try:
         yield gateway
@@ -41,11 +41,11 @@
 
 
 async def run(gateway: Gateway, settings_path: str, load: Load) -> None:
-    """Run a node until SIGTERM or SIGINT, then stop it as planned.
+    """Run a node until SIGTERM or SIGINT, then perform a planned stop.
 
     Args:
-      settings_path: File whose changes, and SIGHUP, lead to a reload.
-      load: Reads that file.
+      settings_path: Settings file; a change of it, or SIGHUP, triggers a reload.
+      load: Reads and checks that file.
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -68,7 +68,7 @@
 
 
 async def stop_planned(gateway: Gateway) -> None:
-    """Leave, and return once all answers are out or the grace is nearly over."""
+    """Perform a planned stop; return once all answers are sent or the grace is nearly over."""
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     grace_s = gateway.settings.grace_s
@@ -80,7 +80,8 @@
     gateway.refuse_new()
     while gateway.listener.in_progress and loop.time() < end_s:
         await asyncio.sleep(POLL_S)
-    # By now the store has answered, or the successor waits until the lease has run out.
+    # If the store has not acknowledged the release by now, the successor waits until the lease has
+    # expired.
     handing_on.cancel()
     logs.event(
         "node.left",
@@ -90,7 +91,7 @@
 
 
 async def _reload(gateway: Gateway, settings_path: str, load: Load, changed: asyncio.Event) -> None:
-    """Reload the settings whenever the file has changed or a signal asks for it."""
+    """Reload the settings whenever the file has changed or SIGHUP was received."""
     seen = _modified(settings_path)
     while True:
         await pause(SETTINGS_POLL_S, changed)
@@ -107,10 +108,10 @@
 
 
 def _modified(path: str) -> tuple[int, int]:
-    """Return the time and the inode of a file, one of which changes when it is written anew."""
+    """Return modification time and inode of a file; a rewrite changes at least one of them."""
     try:
         found = os.stat(path)
     except OSError:
-        # A missing file counts as changed; the reload that follows logs why it can't be read.
+        # A missing file counts as changed; the reload that follows logs the error.
         return (0, 0)
     return (found.st_mtime_ns, found.st_ino)
--- a/packages/springbridge-node/springbridge_node/gateway/loading.py
+++ b/packages/springbridge-node/springbridge_node/gateway/loading.py
@@ -1,6 +1,6 @@
-"""Loads a program's modules at less cost.
+"""Speeds up a program's imports by keeping the garbage collector off the objects they create.
 
-This module is imported before all others, so it imports next to nothing itself.
+This module is imported before all others, so it imports almost nothing itself.
 """
 
 import gc
@@ -10,12 +10,12 @@
 
 @contextmanager
 def kept_for_good() -> Iterator[None]:
-    """Keep what the block creates out of the search for garbage, now and later.
+    """Disable garbage collection in the block, and exclude what it creates from later collections.
 
-    Modules, classes and functions stay until the process ends, and the search goes through all of
-    them while they are loaded. With it a start took 440 ms of processor time, without it 350
-    (medians of 15 starts each, beside other work). After the block it has to look only at what
-    requests leave behind.
+    Modules, classes and functions live until the process ends, but the collector traverses all of
+    them repeatedly during the imports: a start takes 440 ms of processor time with collection and
+    350 ms without (medians of 15 starts each, on a machine with other load). After the block the
+    collector traverses only objects created later, such as those of requests.
     """
     gc.disable()
     try:
--- a/packages/springbridge-node/springbridge_node/gateway/metrics_page.py
+++ b/packages/springbridge-node/springbridge_node/gateway/metrics_page.py
@@ -1,4 +1,4 @@
-"""Sets the gauges of a node's metrics when they are read."""
+"""Updates the gauges of a node's metrics at each scrape."""
 
 from typing import TYPE_CHECKING
 
@@ -11,7 +11,7 @@
 
 
 def set_gauges(gateway: "Gateway") -> None:
-    """Set all gauges to what holds now."""
+    """Set all gauges to their current values."""
     telemetry = gateway.telemetry
     telemetry.nodes.set(gateway.live_nodes())
     telemetry.quarantined.set(gateway.quarantine_parts.quarantined_count())
--- a/packages/springbridge-node/springbridge_node/gateway/outside.py
+++ b/packages/springbridge-node/springbridge_node/gateway/outside.py
@@ -1,4 +1,4 @@
-"""The ports of a node to its platform: store, formats, small interfaces and duty calls."""
+"""The platform-specific parts of a node: store, formats, small interfaces and duty calls."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -15,9 +15,9 @@
     """The ports of a node to its platform.
 
     Attributes:
-      ready_handlers: Makes the handlers of the ready address from the readiness check.
-      directory_handlers: Makes the handlers of the directory address from the address book.
-      duties: The platform's duty calls; None where it has none.
+      ready_handlers: Creates the handlers of the ready address, given the readiness check.
+      directory_handlers: Creates the handlers of the directory address, given the address book.
+      duties: The platform's duty calls, or None if it has none.
     """
 
     store: PlatformStore
--- a/packages/springbridge-node/springbridge_node/gateway/telemetry.py
+++ b/packages/springbridge-node/springbridge_node/gateway/telemetry.py
@@ -2,16 +2,15 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-# Upper bounds of the buckets, in seconds. Finest below a second, the usual target for the first
-# piece of an answer.
+# Upper bounds of the buckets, in seconds. Finest below one second, the usual target for the time to
+# the first piece of an answer.
 FIRST_PIECE_BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.35, 0.6, 1.0, 1.5, 2.5, 5.0, 10.0)
 
 
 class Telemetry:
     """The metrics of one node; docs/OPERATIONS.md lists them.
 
-    Counters and the histogram count up as requests end. The gauges are set when the metrics are
-    read.
+    Counters and the histogram are updated as requests end, gauges when the metrics are scraped.
     """
 
     def __init__(self) -> None:
@@ -25,7 +24,7 @@
         self._make_statement_metrics()
 
     def _make_counters(self) -> None:
-        """Create what counts up as requests end."""
+        """Create the metrics that are updated as requests end."""
         self.requests = Counter(
             "springbridge_requests", "Ended requests", ["route", "result"], registry=self.registry
         )
@@ -50,7 +49,7 @@
         )
 
     def _make_gauges(self) -> None:
-        """Create what is set when the metrics are read."""
+        """Create the general gauges, which are set at each scrape."""
         self.config_version = Gauge(
             "springbridge_config_version", "Version in force", registry=self.registry
         )
@@ -84,7 +83,7 @@
         )
 
     def _make_duty_gauges(self) -> None:
-        """Create what tells of the duties of the whole fleet."""
+        """Create the gauges of the lease and of the duty calls."""
         self.lease_token = Gauge(
             "springbridge_lease_token",
             "Fencing token while this node holds the lease of the duties, else 0",
@@ -98,7 +97,7 @@
         )
 
     def _make_operator_gauges(self) -> None:
-        """Create what tells of endpoints that operators or their services spare."""
+        """Create the gauges of cold endpoints and evacuated failure domains."""
         self.cold_endpoints = Gauge(
             "springbridge_cold_engines",
             "Engines that are cold, or may be, and have a rate for it",
@@ -111,7 +110,7 @@
         )
 
     def _make_rate_metrics(self) -> None:
-        """Create what tells of the rates that endpoints name."""
+        """Create the metrics of the request rates that endpoints announce."""
         self.permits = Counter(
             "springbridge_rate_permits",
             "Permits that requests asked for, to be sent to engines that name a rate",
@@ -136,7 +135,7 @@
         )
 
     def _make_statement_metrics(self) -> None:
-        """Create what tells of further statements of endpoints."""
+        """Create the metrics of further statements of endpoints: leaving and rest."""
         self.leaving_endpoints = Gauge(
             "springbridge_leaving_engines",
             "Engines that have told this node that they leave",
@@ -163,5 +162,5 @@
         )
 
     def text(self) -> bytes:
-        """Return all metrics in the text format of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/packages/springbridge-node/springbridge_node/logs.py
+++ b/packages/springbridge-node/springbridge_node/logs.py
@@ -1,8 +1,7 @@
-"""Structured log events by eliot, for both programs.
+"""Structured log events for both programs, by way of eliot.
 
-Owns the form of an event. Each program sends the events to standard output in its own way. Nothing
-logged may hold a prompt or an answer, so reports of libraries and exceptions are logged without
-their texts.
+Owns the format of an event; each program has its own output. Log lines must never contain a prompt
+or an answer, so records of libraries and exceptions are logged without their texts.
 """
 
 import logging
@@ -13,10 +12,10 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Turns a library's report into an event with its logger, level and exception type."""
+    """Turns a library's log record into an event with its logger, level and exception type."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log one report without its text, which may hold content."""
+        """Log one record without its text, which may contain a prompt or an answer."""
         kind = record.exc_info[0].__name__ if record.exc_info and record.exc_info[0] else ""
         event("library", logger=record.name, level=record.levelname, kind=kind)
 
@@ -27,7 +26,9 @@
 
 
 def fault(exc: BaseException, where: str) -> None:
-    """Log an unexpected exception by type and line, without its text, which may hold content.
+    """Log an unexpected exception by type and line, without its text.
+
+    The text may contain a prompt or an answer.
 
     Args:
       where: The part of the program that caught it.
--- a/packages/springbridge-node/springbridge_node/periodic.py
+++ b/packages/springbridge-node/springbridge_node/periodic.py
@@ -1,8 +1,8 @@
-"""Periodic steps of a node, which go on after a fault, and pauses that an event cuts short.
+"""Periodic tasks that survive exceptions, and pauses that an event cuts short.
 
-A step that fails is logged by type and line, and the next one is taken as usual, so that one fault
-does not end a background task for the rest of the process's life. Tasks that sleep until the next
-tick share a wake-up: each costs a system call and a turn of the event loop.
+An exception in a step is logged by type and line, and the next step runs as usual, so that one
+fault does not end a background task for the rest of the process's life. Tasks that sleep until the
+next tick share a wake-up, as each wake-up costs a system call and an iteration of the event loop.
 
 Owns the offset of this process's ticks.
 """
@@ -14,25 +14,26 @@
 
 from springbridge_node import logs
 
-# Offset of this process's ticks as a share of the shortest interval. It is drawn so that nodes
-# which start together do not beat together: news would wait at each node for the next beat.
+# Offset of this process's ticks as a fraction of the shortest interval. It is random so that nodes
+# that start together do not send their heartbeats together: an update would then wait at each node
+# for the next heartbeat.
 OFFSET = random.random()
-# Shortest interval between ticks, in seconds. Ticks of intervals that are multiples of it coincide.
-# It is the interval of the heartbeats.
+# Shortest interval between ticks, in seconds; the heartbeat interval. Ticks of intervals that are
+# multiples of it coincide.
 TICK_S = 0.25
-# Share of an interval by which a timer may go off early. Far more than the resolution of clocks and
-# far less than an interval.
+# Fraction of an interval by which a timer may fire early. Far more than the resolution of clocks
+# and far less than an interval.
 EARLY_SHARE = 0.01
 
 
 def until_tick_s(now_s: float, interval_s: float) -> float:
-    """Return the seconds from a moment to the next tick of an interval, which is not this moment.
+    """Return the seconds from now_s to the next tick of an interval, which is later than now_s.
 
     Args:
-      now_s: A moment on the event loop's clock.
+      now_s: A time on the event loop's clock.
     """
     left_s = interval_s - (now_s - OFFSET * TICK_S) % interval_s
-    # A timer may go off a little early, and its tick is then over.
+    # A timer may fire a little early; its tick then counts as past.
     return left_s if left_s > EARLY_SHARE * interval_s else left_s + interval_s
 
 
@@ -42,7 +43,7 @@
 
 
 async def every_tick(interval_s: float, step: Callable[[], Awaitable[None]]) -> None:
-    """Take a step at each tick of an interval, and log its faults."""
+    """Run a step at each tick of an interval, and log its exceptions."""
     while True:
         await next_tick(interval_s)
         try:
@@ -54,11 +55,11 @@
 async def every(
     interval_s: float, step: Callable[[], Awaitable[None]], first_after_s: float = 0.0
 ) -> None:
-    """Take a step again and again, and log its faults.
+    """Run a step repeatedly, and log its exceptions.
 
     Args:
       interval_s: Pause between the end of a step and the next one, in seconds; 0 for steps that
-        wait for something themselves.
+        wait by themselves.
       first_after_s: Pause before the first step, in seconds.
     """
     await asyncio.sleep(first_after_s)
@@ -67,14 +68,14 @@
             await step()
         except Exception as exc:
             logs.fault(exc, getattr(step, "__name__", ""))
-            # A step that fails before it waits for anything must not keep others from running.
+            # A step that fails before its first await must not starve other tasks.
             await asyncio.sleep(0)
         if interval_s:
             await asyncio.sleep(interval_s)
 
 
 async def pause(longest_s: float, woken: asyncio.Event) -> None:
-    """Wait until an event is set, but no longer than a time in seconds."""
+    """Wait until an event is set, but at most longest_s seconds."""
     # The timeout is the usual end of this wait, not an error.
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(longest_s):
@@ -82,7 +83,7 @@
 
 
 def guarded(step: Callable[[], None]) -> None:
-    """Take one step and log its fault, so that the steps after it are taken as well."""
+    """Run one step and log its exception, so that the steps after it run as well."""
     try:
         step()
     except Exception as exc:
