--- a/packages/springbridge-node/springbridge_node/clock_test.py
+++ b/packages/springbridge-node/springbridge_node/clock_test.py
@@ -1,7 +1,7 @@
-"""Tests of the clock: it goes on in a suspension, and everything goes by it.
+"""Tests of clock.py: the clock counts suspensions, and no other clock is used.
 
-A machine cannot be suspended here. The kernel's clocks in a suspension are stood in for: boot time
-jumps, and the steady clock does not.
+The tests cannot suspend the machine. They simulate the kernel's clocks in a suspension: boot time
+jumps, and the monotonic clock does not.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 
 ROOT = Path(__file__).parents[3]
 SOURCES = ("packages/springbridge", "packages/springbridge-node", "platform", "deploy")
-# Where other clocks are read, and why.
+# Files that may read other clocks, and why.
 CLASS_ROUTER = "packages/springbridge-node/springbridge_node/class_router"
 ALLOWED = {
-    # It compares the two to notice a suspension, and falls back to the steady one.
+    # Compares boot time with the monotonic clock, which is also its fallback.
     "packages/springbridge-node/springbridge_node/clock.py",
-    # Ids of requests tell when they were issued, to nodes that share no other clock.
+    # Request ids contain their time of issue, for nodes that share no other clock.
     f"{CLASS_ROUTER}/class_node.py",
     f"{CLASS_ROUTER}/callers/callers_http.py",
     f"{CLASS_ROUTER}/callers/work_handler.py",
-    # Order leases stand in the platform's table with the time of day at which they end.
+    # Order leases are stored in the platform's table with the time of day at which they expire.
     f"{CLASS_ROUTER}/assembly.py",
 }
 OTHER_CLOCK = re.compile(r"\btime\.(monotonic|perf_counter|time|clock_gettime)\b|timeout_at\(")
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Return a function that suspends the machine for some seconds."""
+    """Return a function that simulates a suspension of some seconds."""
     slept_s = [0.0]
     real = clock._read
     monkeypatch.setattr(clock, "_read", lambda: real() + slept_s[0])
@@ -79,7 +79,8 @@
         loop.call_later(seconds, lambda: gone_off_after_ticks.append(len(ticks)))
         loop.call_later(0.02, suspend, seconds)
         while not gone_off_after_ticks:
-            # A tick, as of the heartbeats. On the steady clock alone four of them pass in 0.2 s.
+            # A tick, like that of the heartbeats. By the monotonic clock alone four of them pass in
+            # 0.2 s.
             await asyncio.sleep(0.05)
             ticks.append(loop.time())
 
--- a/packages/springbridge-node/springbridge_node/docs_test.py
+++ b/packages/springbridge-node/springbridge_node/docs_test.py
@@ -1,6 +1,6 @@
-"""Walks the pages: what they link to and name has to exist, so that they cannot silently grow old.
+"""Checks the documentation: links and names in it must exist, so that it cannot silently go stale.
 
-The pages that tell of the past may name what is gone.
+Pages about the past may name what no longer exists.
 """
 
 import re
@@ -37,7 +37,7 @@
         *ROOT.glob("docs/**/*.md"),
     )
 )
-# They tell of earlier code in the words of its time.
+# Pages that describe earlier code under its names of that time.
 TELL_OF_THE_PAST = frozenset(
     {
         "CHANGES",
@@ -71,7 +71,7 @@
 
 
 def missing(page: str, names: set[str], known) -> str:
-    """Return what to say of the names that a page should not have."""
+    """Return a message that lists the names of a page that are not known."""
     return "".join(f"\n{page}: {name}" for name in sorted(names) if not known(name))
 
 
@@ -153,7 +153,7 @@
 
 
 def _listings(page: str) -> str:
-    """Return the indented listings of a page."""
+    """Return the indented code blocks of a page."""
     lines = text_of(page).splitlines()
     return " " + " ".join(line for line in lines if line.startswith("    "))
 
--- a/packages/springbridge-node/springbridge_node/gateway/bounded_log_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/bounded_log_test.py
@@ -1,4 +1,4 @@
-"""Tests of bounded_log.py: the log never blocks the node, and lost lines are counted."""
+"""Tests of bounded_log.py: logging never blocks the node, and dropped lines are counted."""
 
 import os
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def pipe():
-    """Yield the reading end of a pipe and a bounded output that writes to it."""
+    """Yield the read end of a pipe and a bounded output that writes to the pipe."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     yield reader, _BoundedOutput(writer)
@@ -65,7 +65,7 @@
 
 
 def available(reader):
-    """Return what a pipe holds now."""
+    """Return the bytes that can be read from a pipe now."""
     try:
         return os.read(reader, 1 << 20)
     except BlockingIOError:
--- a/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/configuration_follower_test.py
@@ -39,13 +39,13 @@
         return Success(ConfigurationUpdate(1, document(VERSION)))
 
     async def await_configuration(self, cursor, wait_s):
-        """Wait longer than any test runs."""
+        """Block for longer than any test runs."""
         self.waits += 1
         await asyncio.sleep(FOREVER_S)
 
 
 class Readers:
-    """A fixed view of who reads the store, in place of the membership's."""
+    """A stand-in for StoreReaders with fixed answers."""
 
     def __init__(self, reads_for_all=False, is_starting=False, turn_s=0.0, round_s=0.0):
         self.reads_for_all = reads_for_all
@@ -79,7 +79,7 @@
 
 
 def run(store, readers, clock, steps=()):
-    """Run a follower, taking steps one look apart, and return it."""
+    """Run a follower, calling the steps one check interval apart, and return it."""
     follower = ConfigurationFollower(store, read, lambda index, source: None, readers, clock)
 
     async def body():
--- a/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/endpoint_follower_test.py
@@ -46,7 +46,7 @@
 
 
 class Readers:
-    """A fixed view of who reads the store, in place of the membership's."""
+    """A stand-in for StoreReaders with fixed answers."""
 
     def __init__(self, reads_for_all):
         self.reads_for_all = reads_for_all
@@ -60,11 +60,11 @@
         return False
 
     def turn_s(self, count):
-        """Return the time to the turn of a node that does not read for all."""
+        """Return the delay until a node that is not a reader has its turn."""
         return 0.0 if self.reads_for_all else TURN_S
 
     def round_s(self):
-        """Return the time in which each node has a turn."""
+        """Return the time in which each node gets one turn."""
         return ROUND_S
 
 
@@ -94,7 +94,7 @@
         return self.peer_list
 
     def heard(self, age_s, fingerprint=None):
-        """Take in a digest of a peer that has the same list, or one with another fingerprint."""
+        """Merge a digest of a peer with the same list, or with a list of another fingerprint."""
         seen = SnapshotStatus(
             self.registry.fingerprint if fingerprint is None else fingerprint, age_s
         )
@@ -103,7 +103,7 @@
         self.membership.merge([peer])
 
     def steps(self, count=1):
-        """Take steps and return how many reads of the store they made."""
+        """Run steps and return the number of store reads that they made."""
         before = self.store.reads
 
         async def body():
@@ -116,13 +116,13 @@
 
 @pytest.fixture
 def reader():
-    """Return the world of a node that reads for all."""
+    """Return the world of a reader."""
     return World(True)
 
 
 @pytest.fixture
 def other():
-    """Return the world of a node that does not, with a list that it read at its start."""
+    """Return the world of a node that is not a reader, with a list that it read at its start."""
     world = World(False)
     assert_that(world.steps(), Equals(1))
     return world
--- a/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
@@ -1,4 +1,4 @@
-"""Tests of store_readers.py: who reads the store for all, and who stands in when."""
+"""Tests of store_readers.py: which nodes read the store, and when others read in their place."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def fleet(clock):
-    """Return the readers as each node of a fleet sees them."""
+    """Return the StoreReaders of each node of a fleet."""
     members = [Member(f"n{number}", f"n{number}", "", "", "a") for number in range(NODES)]
     views = []
     for me in members:
@@ -63,7 +63,7 @@
 
 
 def test_a_node_that_has_just_started_reads_for_nobody_else(clock):
-    # Every node of a fleet that starts together knows itself only, and would take all roles.
+    # When a whole fleet starts, each node at first knows only itself, and would take every role.
     membership = Membership(Member("n", "n", "", "", "a"), clock, random.Random(1))
     readers = StoreReaders(membership, False, clock, roles_after_s=ROLES_AFTER_S)
     assert_that(readers.include_me(READERS), Equals(False))
--- a/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine_steps_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/stored_quarantine_steps_test.py
@@ -1,4 +1,4 @@
-"""Tests of the rows of requests in quarantine when the store comes back from an older copy."""
+"""Tests of the rows of quarantined requests after the store was restored from an older copy."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
 
 
 class Rows:
-    """A store of such rows."""
+    """A store that keeps only the fingerprints of its rows."""
 
     def __init__(self):
         self.fingerprints = set()
 
     async def read_crashes(self):
-        """Return none."""
+        """Return no rows."""
         return Success([])
 
     async def write_crashes(self, stored):
@@ -33,10 +33,10 @@
 
 
 class EveryReader:
-    """Says that this node reads for all."""
+    """A stand-in for StoreReaders in which this node is always a reader."""
 
     def include_me(self, readers):
-        """Return that it does."""
+        """Return True for any number of readers."""
         return True
 
 
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def quarantine(rows):
-    """Return what keeps one request in quarantine there, after its row was written."""
+    """Return a StoredQuarantine that has written the row of one quarantined request."""
     records = CrashRecords(lambda: 0.0)
     records.note_crash("f", 1)
     kept = StoredQuarantine(rows, EveryReader(), records, lambda told: None)
@@ -64,7 +64,7 @@
     assert_that(rows.fingerprints, Equals({"f"}))
 
 
-# Guards against quarantine for an acquitted request: an older copy brought its row back.
+# Guards against quarantine of an acquitted request whose row comes back with an older copy.
 def test_a_row_that_an_older_copy_brings_back_is_removed_again(quarantine, rows):
     quarantine.left("f")
     asyncio.run(quarantine.step())
--- a/packages/springbridge-node/springbridge_node/gateway/config/unreadable_entries_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/unreadable_entries_test.py
@@ -1,4 +1,4 @@
-"""Tests of unreadable_entries.py: one line for each content, however often it is read."""
+"""Tests of unreadable_entries.py: one log line for each distinct entry, on any number of reads."""
 
 import pytest
 from springbridge.routing.records import UnreadableEntry
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def log():
-    """Return a log that has named nothing."""
+    """Return a log without logged entries."""
     return UnreadableEntryLog()
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_histories_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_histories_test.py
@@ -1,11 +1,11 @@
-"""Two holders never act at once: drawn histories of keepers on a store that fails in every way."""
+"""Two holders never act at once, in random histories of keepers on a faulty store."""
 
 import pytest
 from springbridge_standins.lease_histories import play_history
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-# Histories whose seeds once broke a rule: a lease taken under a revision of an earlier era.
+# Seeds of a fixed fault: a lease was acquired under a revision of an earlier era of the store.
 ONCE_BROKEN = (5, 9, 14, 24, 28)
 DRAWN = range(1000, 1150)
 
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_histories_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_histories_test.py
@@ -1,4 +1,4 @@
-"""A window has one report: drawn histories of reporters on a store that fails in every way."""
+"""A window has a single report, in random histories of reporters on a faulty store."""
 
 import pytest
 from springbridge_standins.usage_histories import Harms, play_reports
@@ -10,7 +10,7 @@
 STEPS_AND_LOSSES = Harms(("go_back", "kill_all"), lost=0.0)
 MANY = Harms(("freeze", "kill", "cut", "rank", "down", "go_back", "leave", "jump"))
 SELDOM = Harms(("go_back", "kill"), pause_s=12.0, lost=0.02)
-# Histories whose seeds once had a window with two counts.
+# Seeds of fixed faults: a window was reported twice with different counts.
 ONCE_BROKEN = (
     *((seed, STEPS_AND_KILLS) for seed in (0, 2, 3, 4, 5, 8, 9, 12, 14)),
     *((seed, STEPS_AND_RANKS) for seed in (6, 8, 14)),
@@ -22,8 +22,8 @@
 )
 
 
-# Guards against a second report of a window: the store came back from an older copy, and a holder
-# whom nobody had told decided anew.
+# Guards against a second report of a window: the store is restored from an older copy, and a holder
+# that has not received the first report decides the window again.
 @pytest.mark.parametrize(("seed", "harms"), [*ONCE_BROKEN, *DRAWN])
 def test_no_history_has_a_window_with_two_counts(seed, harms):
     history = play_reports(seed, harms)
--- a/packages/springbridge-node/springbridge_node/gateway/lifecycle_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle_test.py
@@ -1,4 +1,4 @@
-"""Tests of lifecycle.py: a planned stop takes its steps in order and within the grace."""
+"""Tests of lifecycle.py: order and duration of a planned stop, and reloads of the settings."""
 
 import asyncio
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 
 
 class Leaving:
-    """A gateway that notes the steps of its stop; each answer takes a time."""
+    """A stand-in for a gateway that records the steps of its stop, with one answer in progress."""
 
     def __init__(self):
         self.settings = SimpleNamespace(grace_s=GRACE_S)
@@ -41,7 +41,7 @@
 
 
 def stopped_after(gateway, answered_after_s):
-    """Stop a gateway and return how long it took."""
+    """Stop a gateway and return how long the stop took, in seconds."""
 
     async def body():
         loop = asyncio.get_running_loop()
@@ -68,7 +68,7 @@
 
 
 class Reloaded(Leaving):
-    """A gateway that notes its settings."""
+    """A stand-in for a gateway that records the reloaded settings."""
 
     def reload(self, settings):
         """Note the settings."""
@@ -77,7 +77,8 @@
 
 @pytest.mark.parametrize("error", [TypeError, IndexError, AttributeError, ValueError, KeyError])
 def test_settings_of_the_wrong_shape_are_refused_and_later_ones_taken(tmp_path, error):
-    # One of the wrong shape once ended the reading for the rest of the process's life.
+    # Guards against settings of a wrong type that end the reload task for the rest of the process's
+    # life.
     gateway = Reloaded()
     results = [error("listen"), "later"]
 
--- a/packages/springbridge-node/springbridge_node/gateway/loading_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/loading_test.py
@@ -1,4 +1,4 @@
-"""Tests of loading.py: nothing that was loaded is searched for garbage."""
+"""Tests of loading.py: what the block creates is excluded from garbage collection."""
 
 import gc
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def frozen():
-    """Return how many objects are kept out of the search, and let them all back in at the end."""
+    """Yield a count of the objects excluded from collection, and include them again at the end."""
     yield gc.get_freeze_count
     gc.unfreeze()
 
--- a/packages/springbridge-node/springbridge_node/periodic_test.py
+++ b/packages/springbridge-node/springbridge_node/periodic_test.py
@@ -1,4 +1,4 @@
-"""Tests of periodic.py: steps go on after a fault, and an event cuts a pause short."""
+"""Tests of periodic.py: steps continue after an exception, and an event cuts a pause short."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 def seconds_of(wait):
-    """Return how long a wait took."""
+    """Return how long a wait took, in seconds."""
 
     async def body():
         loop = asyncio.get_running_loop()
@@ -70,8 +70,8 @@
 
 
 def test_tasks_of_an_idle_node_share_their_wake_ups():
-    # The load: an idle node with four tasks that look or beat four times a second and one that
-    # cleans up every two. Each begins at a moment of its own.
+    # An idle node with four tasks that run four times a second and one that runs every two seconds,
+    # each started at a different time.
     intervals_s = [TICK_S, TICK_S, TICK_S, TICK_S, 8 * TICK_S]
     woken_s = set()
     for number, interval_s in enumerate(intervals_s):
