--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
@@ -12,7 +12,7 @@
 from springbridge_node.gateway.duties.lease_keeper import LeaseKeeper
 from springbridge_node.gateway.duties.scaler import Scaler
 from springbridge_node.gateway.duties.usage_reporter import UsageReporter
-from springbridge_node.gateway.duties.usage_sharing import TELL_S, UsageSharing
+from springbridge_node.gateway.duties.usage_sharing import SEND_INTERVAL_S, UsageSharing
 from springbridge_node.gateway.gateway_settings import DutySettings
 from springbridge_node.gateway.outside import Outside
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
@@ -20,9 +20,9 @@
 from springbridge_node.periodic import every, every_tick
 
 # Seconds after the start before the first step; the node learns of the other nodes in this time.
-FIRST_LOOK_S = 1.0
+START_DELAY_S = 1.0
 # Seconds between two steps of the reporter, and of the scaler.
-ACT_S = 0.5
+STEP_INTERVAL_S = 0.5
 
 
 class DutyParts:
@@ -61,34 +61,34 @@
             settings.reports_usage,
         )
         self.scaler = Scaler(self.keeper, self.sharing, platform, registry, services)
-        self.keeper.connect(self._taken, self.reporter.content, self.reporter.renewed)
+        self.keeper.connect(self._on_taken, self.reporter.decide_content, self.reporter.on_renewed)
 
     def connect(self, datagrams: PeerDatagrams) -> None:
         """Start exchanging usage counts with peers."""
         self.sharing.connect(datagrams)
 
-    def work(self) -> tuple[Coroutine[None, None, None], ...]:
+    def periodic_work(self) -> tuple[Coroutine[None, None, None], ...]:
         """Return the coroutines of all periodic tasks, none of which ends by itself."""
         tasks = [
-            every_tick(TELL_S, self.sharing.step),
-            every(self._renewal_s, self.keeper.step, FIRST_LOOK_S),
+            every_tick(SEND_INTERVAL_S, self.sharing.step),
+            every(self._renewal_s, self.keeper.step, START_DELAY_S),
         ]
         if self._settings.reports_usage:
-            tasks.append(every(ACT_S, self.reporter.step, FIRST_LOOK_S))
+            tasks.append(every(STEP_INTERVAL_S, self.reporter.step, START_DELAY_S))
         if self._settings.orders_endpoints:
-            tasks.append(every(ACT_S, self.scaler.step, FIRST_LOOK_S))
+            tasks.append(every(STEP_INTERVAL_S, self.scaler.step, START_DELAY_S))
         return tuple(tasks)
 
     def sent(self, admitted: Admitted) -> None:
         """Count the work of a request that is sent to endpoints."""
-        self.sharing.sent(admitted)
+        self.sharing.count_work(admitted)
 
     def began(self, admitted: Admitted) -> None:
         """Count a request that an endpoint began, if it names a customer."""
         if admitted.customer:
-            self.sharing.began(admitted.customer)
+            self.sharing.count_request(admitted.customer)
 
-    def show(self, telemetry: Telemetry) -> None:
+    def set_gauges(self, telemetry: Telemetry) -> None:
         """Set the gauges of the lease and of the duty calls."""
         credentials = self.keeper.credentials
         telemetry.lease_token.set(credentials.token if credentials else 0)
@@ -104,10 +104,10 @@
         """Release the lease, as part of a planned stop."""
         await self.keeper.leave()
 
-    def _taken(self, takeover: Takeover) -> None:
+    def _on_taken(self, takeover: Takeover) -> None:
         """Let reporter and scaler continue after a takeover of the lease."""
-        self.reporter.taken(takeover)
-        self.scaler.taken()
+        self.reporter.continue_from(takeover)
+        self.scaler.reset()
 
 
 def duty_parts(
--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_rows.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_rows.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldWork:
+class ReceivedWork:
     """The total work that a run of an instance has sent, in prompt tokens by service."""
 
     incarnation: str
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HolderNews:
+class HolderUpdate:
     """A datagram of the lease holder: the true time, and the reports that it has decided."""
 
     true_s: float
@@ -39,25 +39,25 @@
     return [incarnation, started_s, counted.window, counted.counts, work]
 
 
-def read_usage(rows: list) -> tuple[ToldUsage | None, ToldWork]:
+def read_usage(rows: list) -> tuple[ToldUsage | None, ReceivedWork]:
     """Decode the counts of a node, None if there are none, and its work."""
     incarnation, started_s, window, counts, work = rows
-    told_work = ToldWork(text(incarnation), read_counts(work))
+    told_work = ReceivedWork(text(incarnation), read_counts(work))
     if whole(window) == NO_COUNTS.window:
         return None, told_work
     told = ToldUsage(told_work.incarnation, number(started_s), window, read_counts(counts))
     return told, told_work
 
 
-def news_rows(true_s: float, reports: list[Report]) -> list:
+def holder_rows(true_s: float, reports: list[Report]) -> list:
     """Encode the true time and the decided reports."""
     return [true_s, [[report.window, report.counts] for report in reports]]
 
 
-def read_news(rows: list) -> HolderNews:
+def read_holder_update(rows: list) -> HolderUpdate:
     """Decode a datagram of the lease holder."""
     true_s, reports = rows
-    return HolderNews(
+    return HolderUpdate(
         number(true_s),
         tuple(Report(whole(window), read_counts(counts)) for window, counts in reports),
     )
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_content.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_content.py
@@ -15,7 +15,7 @@
 
 # Most bytes of totals that are stored; a row of the store holds little more. Larger totals are left
 # out, and are lost if all nodes are lost at once.
-MOST_TOTALS_BYTES = 24 << 10
+MAX_TOTALS_BYTES = 24 << 10
 # Era of an empty content that was never stored.
 NO_ERA = -1
 
@@ -43,9 +43,9 @@
 
 
 def to_bytes(content: LeaseContent) -> bytes:
-    """Encode a content for the row; totals above MOST_TOTALS_BYTES are left out."""
+    """Encode a content for the row; totals above MAX_TOTALS_BYTES are left out."""
     totals = {str(window): counts for window, counts in content.totals.items()}
-    if len(orjson.dumps(totals)) > MOST_TOTALS_BYTES:
+    if len(orjson.dumps(totals)) > MAX_TOTALS_BYTES:
         totals = {}
     return orjson.dumps(
         {
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper.py
@@ -1,8 +1,9 @@
 """Acquires, renews and releases the lease under which one node performs the fleet's duties.
 
 Owns this node's tenure. The rules are those of springbridge.duties.lease. Each step makes at most
-one call to the store, except after a refused renewal. Duty calls run inside acting(), which rejects
-calls that could outlast the tenure, and the lease is released only while none is in progress.
+one call to the store, except after a refused renewal. Duty calls run inside credentials_for_call(),
+which rejects calls that could outlast the tenure, and the lease is released only while none is in
+progress.
 """
 
 import asyncio
@@ -35,7 +36,7 @@
 
     Attributes:
       dependency: Whether the store answered the last call about the lease.
-      changes: Number of times this node has acquired the lease.
+      acquisitions: Number of times this node has acquired the lease.
     """
 
     def __init__(
@@ -60,33 +61,37 @@
         self._incarnation = incarnation
         self._lease_s = lease_s
         self._clock = clock
-        self._sight: Sight | None = None
+        self._observed: Sight | None = None
         self._tenure: Tenure | None = None
         self._leaving = False
-        self._acting = 0
+        self._calls_in_progress = 0
         self._step = asyncio.Lock()
         self._alone_until_s = -math.inf
-        self._taken: Callable[[Takeover], None] = lambda takeover: None
-        self._content: Callable[[int], bytes] = lambda era: b""
-        self._renewed: Callable[[], None] = lambda: None
+        self._on_taken: Callable[[Takeover], None] = lambda takeover: None
+        self._content_to_store: Callable[[int], bytes] = lambda era: b""
+        self._on_renewed: Callable[[], None] = lambda: None
         self.dependency = Dependency("lease of duties")
-        self.changes = 0
+        self.acquisitions = 0
 
     def connect(
         self,
-        taken: Callable[[Takeover], None],
-        content: Callable[[int], bytes],
-        renewed: Callable[[], None],
+        on_taken: Callable[[Takeover], None],
+        content_to_store: Callable[[int], bytes],
+        on_renewed: Callable[[], None],
     ) -> None:
         """Set the callbacks of the parts that work under the lease.
 
         Args:
-          taken: Called when this node has acquired the lease.
-          content: Returns the state that the next renewal stores for later holders, given the era
-            of the store.
-          renewed: Called when the store has acknowledged what content() last returned.
+          on_taken: Called when this node has acquired the lease.
+          content_to_store: Returns the state that the next renewal stores for later holders, given
+            the era of the store.
+          on_renewed: Called when the store has acknowledged what content_to_store() last returned.
         """
-        self._taken, self._content, self._renewed = taken, content, renewed
+        self._on_taken, self._content_to_store, self._on_renewed = (
+            on_taken,
+            content_to_store,
+            on_renewed,
+        )
 
     @property
     def credentials(self) -> Credentials | None:
@@ -96,7 +101,7 @@
         return Credentials(self._name, self._tenure.token)
 
     @contextlib.contextmanager
-    def acting(self, call_s: float) -> Iterator[Credentials | None]:
+    def credentials_for_call(self, call_s: float) -> Iterator[Credentials | None]:
         """Yield the credentials for one call, or None if it could outlast the tenure.
 
         Args:
@@ -106,11 +111,11 @@
         if tenure is None or self._leaving or not tenure.allows(self._clock(), call_s):
             yield None
             return
-        self._acting += 1
+        self._calls_in_progress += 1
         try:
             yield Credentials(self._name, tenure.token)
         finally:
-            self._acting -= 1
+            self._calls_in_progress -= 1
 
     async def leave(self) -> None:
         """Release the lease, as part of a planned stop; it is not taken again."""
@@ -123,7 +128,7 @@
             if self._tenure is not None:
                 await self._hold(self._tenure)
             elif not self._leaving:
-                await self._stand_by()
+                await self._act_as_candidate()
 
     async def _hold(self, tenure: Tenure) -> None:
         """Renew the lease, release it, or give it up if the tenure has expired."""
@@ -132,31 +137,31 @@
             case Step.RENEW:
                 await self._renew(tenure)
             case Step.HAND_ON:
-                await self._hand_on(tenure)
+                await self._release(tenure)
             case _:
-                self._lose("not renewed in time")
+                self._drop_tenure("not renewed in time")
 
-    async def _stand_by(self) -> None:
+    async def _act_as_candidate(self) -> None:
         """Watch the row if this node is a candidate, and acquire the lease once it is free."""
         rank = self._candidates.rank()
         if self._next_step(rank) is Step.READ:
             await self._read()
         match self._next_step(rank):
             case Step.TAKE:
-                await self._take(self._sight)
+                await self._take(self._observed)
             case Step.WAIT:
-                self._sight = None
+                self._observed = None
 
     def _next_step(self, rank: int) -> Step:
         """Return the next step of this node as a candidate."""
-        return lease.candidate_step(self._sight, self._clock(), self._lease_s, rank)
+        return lease.candidate_step(self._observed, self._clock(), self._lease_s, rank)
 
     async def _read(self) -> LeaseReading | None:
         """Read the row and return the reading, or None if the call failed."""
         match await self._store.read_lease(DUTY):
             case Success(reading):
                 self.dependency.answered()
-                self._sight = lease.seen(self._sight, reading, self._clock())
+                self._observed = lease.seen(self._observed, reading, self._clock())
                 return reading
             case Failure(problem):
                 self.dependency.failed(problem.detail)
@@ -168,9 +173,9 @@
         row = self._row(before.row.content if before.row else b"", before.stamp)
         sent_s = self._clock()
         result = await self._store.write_lease(DUTY, row, before.stamp)
-        self._sight = None
+        self._observed = None
         if isinstance(result, Failure):
-            self._not_written("take", result.failure())
+            self._log_failed_write("take", result.failure())
             return
         written = result.unwrap()
         self.dependency.answered()
@@ -181,7 +186,7 @@
             logs.event("lease.not_written", call="take", detail="another era")
             return
         self._tenure = lease.taken(written.stamp, sent_s, self._lease_s)
-        self.changes += 1
+        self.acquisitions += 1
         logs.event(
             "lease.taken",
             token=self._tenure.token,
@@ -189,13 +194,13 @@
             handed_on=bool(before.row and before.row.handed_on),
         )
         reading = replace(before, store_s=written.store_s)
-        self._taken(Takeover(reading, sight.since_s, self._clock(), self._alone_until_s))
+        self._on_taken(Takeover(reading, sight.since_s, self._clock(), self._alone_until_s))
         # Renewed at once: a report may be due, and reports are sent only after a renewal.
         await self._renew(self._tenure)
 
     async def _renew(self, tenure: Tenure) -> None:
         """Renew the lease and store the state that later holders need."""
-        row = self._row(self._content(era_of(tenure.stamp)), tenure.stamp)
+        row = self._row(self._content_to_store(era_of(tenure.stamp)), tenure.stamp)
         sent_s = self._clock()
         result = await self._store.write_lease(DUTY, row, tenure.stamp)
         if isinstance(result, Failure):
@@ -204,11 +209,11 @@
         self.dependency.answered()
         self._tenure = lease.renewed(tenure, result.unwrap().stamp, sent_s, self._lease_s)
         self._alone_until_s = sent_s + self._lease_s
-        self._renewed()
+        self._on_renewed()
 
     async def _after_refused_renewal(self, tenure: Tenure, problem: Problem) -> None:
         """Read the row to find out whether this node still holds the lease."""
-        self._not_written("renew", problem)
+        self._log_failed_write("renew", problem)
         if problem.code is not Code.VERSION_CONFLICT:
             return
         reading = await self._read()
@@ -217,23 +222,23 @@
         self._tenure = lease.found_own(tenure, reading, self._incarnation)
         if self._tenure is None:
             self._tenure = tenure
-            self._lose("another holder" if reading.row else "no row")
+            self._drop_tenure("another holder" if reading.row else "no row")
 
-    async def _hand_on(self, tenure: Tenure) -> None:
+    async def _release(self, tenure: Tenure) -> None:
         """Release the lease once no duty call is in progress."""
         self._tenure = None
-        while self._acting:
+        while self._calls_in_progress:
             await asyncio.sleep(POLL_S)
         self._alone_until_s = -math.inf
-        content = self._content(era_of(tenure.stamp))
+        content = self._content_to_store(era_of(tenure.stamp))
         row = replace(self._row(content, tenure.stamp), handed_on=True)
         result = await self._store.write_lease(DUTY, row, tenure.stamp)
         if isinstance(result, Failure):
             # The successor then has to wait until the lease expires.
-            self._not_written("hand on", result.failure())
+            self._log_failed_write("hand on", result.failure())
         else:
             logs.event("lease.handed_on", token=tenure.token)
-        self._sight = None
+        self._observed = None
 
     def _row(self, content: bytes, before: int) -> LeaseRow:
         """Return the row that names this process as the holder.
@@ -243,13 +248,13 @@
         """
         return LeaseRow(self._name, self._incarnation, False, content, era_of(before))
 
-    def _lose(self, reason: str) -> None:
+    def _drop_tenure(self, reason: str) -> None:
         """Drop the tenure: this node does not hold the lease any more."""
         logs.event("lease.lost", token=self._tenure.token, reason=reason)
         self._tenure = None
-        self._sight = None
+        self._observed = None
 
-    def _not_written(self, call: str, problem: Problem) -> None:
+    def _log_failed_write(self, call: str, problem: Problem) -> None:
         """Log a write that the store did not acknowledge."""
         logs.event("lease.not_written", call=call, detail=problem.detail)
         if problem.code is not Code.VERSION_CONFLICT:
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper_test.py
@@ -1,4 +1,4 @@
-"""Tests of the keeper of a lease: what it does while a duty call is under way."""
+"""Tests of lease_keeper.py: renewal and release while a duty call is in progress."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class Machine:
-    """A machine that runs, and its place in the ranking."""
+    """A machine that is never frozen, and its rank among the candidates."""
 
     cut_until_s = 0.0
     place = 0
@@ -23,17 +23,17 @@
         """Return at once."""
 
     def rank(self):
-        """Return its place."""
+        """Return the set rank."""
         return self.place
 
     def include_me(self):
-        """Return whether it is a candidate."""
+        """Return whether the rank is that of a candidate."""
         return self.place < 3
 
 
 @pytest.fixture
 def with_holder():
-    """Return a function that runs a test with a keeper that holds the lease."""
+    """Return a function that runs a test body with a keeper that holds the lease."""
 
     def run(body):
         async def play():
@@ -58,7 +58,7 @@
 def test_the_lease_is_handed_on_only_after_the_call_under_way(with_holder):
     async def body(holder):
         async def call():
-            with holder.keeper.acting(CALL_S) as credentials:
+            with holder.keeper.credentials_for_call(CALL_S) as credentials:
                 assert_that(credentials is not None, Equals(True))
                 await asyncio.sleep(0.5)
                 assert_that(holder.store.row.handed_on, Is(False))
@@ -78,7 +78,7 @@
         holder.machine.place = 3
         handing_on = asyncio.ensure_future(holder.keeper.step())
         await asyncio.sleep(0)
-        with holder.keeper.acting(CALL_S) as credentials:
+        with holder.keeper.credentials_for_call(CALL_S) as credentials:
             assert_that(credentials, Is(None))
         await handing_on
 
@@ -88,7 +88,7 @@
 def test_a_call_that_could_outlast_the_tenure_is_not_begun(with_holder):
     async def body(holder):
         await asyncio.sleep(LEASE_S - CALL_S)
-        with holder.keeper.acting(CALL_S) as credentials:
+        with holder.keeper.credentials_for_call(CALL_S) as credentials:
             assert_that(credentials, Is(None))
 
     with_holder(body)
--- a/packages/springbridge-node/springbridge_node/gateway/duties/scaler.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/scaler.py
@@ -28,20 +28,20 @@
 from springbridge_node.gateway.duties.usage_sharing import UsageSharing
 
 # Greatest age of the endpoint list, in seconds, at which orders are based on it.
-OLDEST_LIST_S = 2.0
+MAX_LIST_AGE_S = 2.0
 # Seconds before an order is repeated; an endpoint starts within this time.
 REORDER_S = 6.0
 # Seconds before an order is repeated that failed: no endpoints available, or no answer.
 RETRY_S = 1.5
 # Length in seconds of the period whose peak counts as the current load. Bursts follow each other
 # within such a time.
-PRESENT_S = 20.0
+CURRENT_LOAD_S = 20.0
 # Seconds after the lease was acquired during which no reduction is ordered.
-OBSERVE_S = 4.0
+NO_REDUCTION_S = 4.0
 # Seconds without a new entry after which a new holder takes the list as complete. An order for
 # fewer endpoints than exist removes the others, and an incomplete list does not show how many there
 # are.
-WHOLE_AFTER_S = 2.0
+LIST_COMPLETE_AFTER_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,22 +54,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class LastOrder:
     """The last order for a subject.
 
     Attributes:
       count: Number of endpoints ordered.
-      again_s: Time from which the order may be repeated.
-      taken: Whether the platform accepted it.
+      repeat_from_s: Time from which the order may be repeated.
+      accepted: Whether the platform accepted it.
     """
 
     count: int
-    again_s: float
-    taken: bool
+    repeat_from_s: float
+    accepted: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Growth:
+class LargestList:
     """The largest number of listed endpoints of a service so far, and when it was first seen."""
 
     count: int
@@ -107,24 +107,24 @@
         self._services = services
         self._clock = clock
         self._policy = policy
-        self._given: dict[Subject, Given] = {}
-        self._stood: dict[str, int] = {}
-        self._growing: dict[str, Growth] = {}
+        self._last_orders: dict[Subject, LastOrder] = {}
+        self._initial_counts: dict[str, int] = {}
+        self._largest_lists: dict[str, LargestList] = {}
         self._domains: dict[str, set[str]] = {}
         self._taken_s = clock()
         self.orders = 0
         self.refused = 0
 
-    def taken(self) -> None:
+    def reset(self) -> None:
         """Reset after the lease was acquired: the orders of earlier holders are not known here."""
-        self._given = {}
-        self._stood = {}
-        self._growing = {}
+        self._last_orders = {}
+        self._initial_counts = {}
+        self._largest_lists = {}
         self._taken_s = self._clock()
 
     async def step(self) -> None:
         """Place the orders that are due for all services."""
-        if self._keeper.credentials is None or self._registry.age_s() > OLDEST_LIST_S:
+        if self._keeper.credentials is None or self._registry.age_s() > MAX_LIST_AGE_S:
             return
         for service in self._services().values():
             if service.scaling is not None:
@@ -133,7 +133,7 @@
     async def _scale(self, service: str, limits: ScalingLimits) -> None:
         """Place the orders that are due for one service."""
         domains = self._listed(service)
-        if not domains or not self._is_whole(service, domains):
+        if not domains or not self._is_list_complete(service, domains):
             return
         load = self._load(service, domains)
         for name, wanted in scaling.wanted(self._policy, domains, load, limits).items():
@@ -157,35 +157,35 @@
         names.update(entry.failure_domain for entry in entries)
         return {name: Listed(staying[name, False], staying[name, True]) for name in sorted(names)}
 
-    def _is_whole(self, service: str, domains: dict[str, Listed]) -> bool:
+    def _is_list_complete(self, service: str, domains: dict[str, Listed]) -> bool:
         """Return whether the list is known to be complete since this node acquired the lease."""
-        if service in self._stood:
+        if service in self._initial_counts:
             return True
         count = sum(each.on_demand + each.spot for each in domains.values())
-        known = self._growing.get(service)
+        known = self._largest_lists.get(service)
         if known is None or count > known.count:
-            self._growing[service] = Growth(count, self._clock())
+            self._largest_lists[service] = LargestList(count, self._clock())
             return False
-        return self._clock() >= known.since_s + WHOLE_AFTER_S
+        return self._clock() >= known.since_s + LIST_COMPLETE_AFTER_S
 
     def _load(self, service: str, domains: dict[str, Listed]) -> Load:
         """Return the load of a service, as the number of endpoints that it keeps busy."""
         count = sum(each.on_demand + each.spot for each in domains.values())
-        self._stood.setdefault(service, count)
+        self._initial_counts.setdefault(service, count)
         demand = self._sharing.demand
         speed = self._registry.usual_speed(service)
         return Load(
-            now=demand.peak_per_s(service, PRESENT_S) / speed,
+            now=demand.peak_per_s(service, CURRENT_LOAD_S) / speed,
             peak=demand.peak_per_s(service, KEPT_S) / speed,
             known_for_s=demand.known_for_s(service),
-            stood=self._stood[service],
+            stood=self._initial_counts[service],
         )
 
     async def _order(self, subject: Subject, count: int, listed: int, load: Load) -> None:
         """Place an order if it is due and the lease allows the call."""
         if not self._is_due(subject, count, listed):
             return
-        with self._keeper.acting(DUTY_CALL_S) as credentials:
+        with self._keeper.credentials_for_call(DUTY_CALL_S) as credentials:
             if credentials is None:
                 return
             order = EndpointOrder(subject.service, subject.failure_domain, subject.spot, count)
@@ -194,14 +194,14 @@
 
     def _is_due(self, subject: Subject, count: int, listed: int) -> bool:
         """Return whether an order is due now."""
-        now_s, given = self._clock(), self._given.get(subject)
-        if count < listed and now_s < self._taken_s + OBSERVE_S:
+        now_s, given = self._clock(), self._last_orders.get(subject)
+        if count < listed and now_s < self._taken_s + NO_REDUCTION_S:
             return False
         if given is None:
             return count != listed
-        if given.count != count and given.taken:
+        if given.count != count and given.accepted:
             return True
-        return now_s >= given.again_s and not (given.taken and listed >= count)
+        return now_s >= given.repeat_from_s and not (given.accepted and listed >= count)
 
     def _note(
         self,
@@ -216,7 +216,7 @@
         self.refused += bool(refused)
         self.orders += not refused
         again_s = self._clock() + (RETRY_S if refused else REORDER_S)
-        self._given[subject] = Given(count, again_s, taken=not refused)
+        self._last_orders[subject] = LastOrder(count, again_s, accepted=not refused)
         logs.event(
             "scaling.ordered",
             service=subject.service,
--- a/packages/springbridge-node/springbridge_node/gateway/duties/scaler_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/scaler_test.py
@@ -1,8 +1,8 @@
-"""Tests of the node that orders endpoints: what it orders while its view is not yet whole.
+"""Tests of scaler.py: what is ordered while the endpoint list is still incomplete.
 
-The pattern: the whole system starts, one node takes the lease within a second, and the endpoints
-come onto the list one after another. Taken for all there are, the first few would let it give up
-the rest just before the traffic begins.
+Guards against a removal of endpoints at a start of the whole system: one node acquires the lease
+within a second, while endpoints are still being added to the list. If it takes the first few for a
+complete list, it removes the others just before the traffic begins.
 """
 
 import asyncio
@@ -18,14 +18,14 @@
 from testtools.matchers import Equals
 
 from springbridge_node.gateway.duties.duty_platform import Credentials
-from springbridge_node.gateway.duties.scaler import OBSERVE_S, Scaler
+from springbridge_node.gateway.duties.scaler import NO_REDUCTION_S, Scaler
 
 SERVICE = Service("model", scaling=ScalingLimits(least=1, most=30, spot_price=0.18))
 DOMAINS = ("a", "b", "c")
 
 
 class World:
-    """A clock, a lease that is always held, and a platform that takes all orders."""
+    """A clock, a lease that is always held, and a platform that accepts all orders."""
 
     now_s = 100.0
     credentials = Credentials("node-1", 7)
@@ -41,17 +41,17 @@
         return self.now_s
 
     @contextlib.contextmanager
-    def acting(self, call_s):
-        """Give the credentials."""
+    def credentials_for_call(self, call_s):
+        """Yield the credentials."""
         yield self.credentials
 
     async def order_endpoints(self, credentials, order):
-        """Take an order."""
+        """Accept an order."""
         self.orders[order.failure_domain, order.spot] = order.count
         return Success(None)
 
     def list_endpoints(self, on_demand, spot=0):
-        """List so many endpoints of each kind in each failure domain."""
+        """Install a list with the given numbers of endpoints in each failure domain."""
         entries = tuple(
             (
                 EndpointEntry(f"{name}-{is_spot}-{number}", "model", "10.0.0.1:80", name, 64, False)
@@ -74,7 +74,7 @@
         self.registry.install(EndpointSnapshot(int(self.now_s * 1000), entries), {}, 0.0)
 
     def step(self, seconds=0.5):
-        """Let some time pass, and the scaler take a step."""
+        """Advance the clock and run one step of the scaler."""
         self.now_s += seconds
         asyncio.run(self.scaler.step())
 
@@ -86,14 +86,14 @@
 
 
 def wait(world, on_demand, spot=0):
-    """Let the time pass in which a new holder only looks, with a list that stays the same."""
-    for _ in range(round(2 * OBSERVE_S)):
+    """Let the time pass in which a new holder orders no reduction, with an unchanged list."""
+    for _ in range(round(2 * NO_REDUCTION_S)):
         world.list_endpoints(on_demand, spot)
         world.step()
 
 
 def on_demand_orders(world):
-    """Return the orders for endpoints on demand."""
+    """Return the orders for on-demand endpoints, by failure domain."""
     return {name: count for (name, spot), count in world.orders.items() if not spot}
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter.py
@@ -23,7 +23,7 @@
 # Number of further nodes that get the true time at each renewal, besides the candidates.
 TIME_RECEIVERS = 8
 # Most reports that are sent in a row in one step.
-MOST_IN_A_STEP = 4
+MAX_REPORTS_PER_STEP = 4
 
 
 class UsageReporter:
@@ -66,10 +66,10 @@
         self.sent = 0
         self.missed = 0
 
-    def taken(self, takeover: Takeover) -> None:
+    def continue_from(self, takeover: Takeover) -> None:
         """Continue from the state that the previous holder stored."""
         before = takeover.before
-        content = self._read(before)
+        content = self._read_content(before)
         true_time = self._sharing.true_time
         if content.wall_ahead_s is not None:
             true_time.told(takeover.at_s, before.store_s + content.wall_ahead_s)
@@ -79,11 +79,11 @@
         own = [each for each in self._ledger.reports() if each.window in self._kept_windows]
         self._ledger = ReportLedger(self._window_s)
         self._ledger.adopt(content.reports, content.next_window)
-        self._ledger.adopt([*self._sharing.heard.values(), *own], content.next_window)
+        self._ledger.adopt([*self._sharing.received_reports.values(), *own], content.next_window)
         current = window_at(self._sharing.true_s(), self._window_s)
         earliest = min([current, *self._sharing.usage.windows()])
         self._ledger.begin(earliest)
-        self._leave_out(takeover, content)
+        self._skip_lost_decisions(takeover, content)
         left_out = self._ledger.unknown_from(
             earliest if content.next_window is None else content.next_window
         )
@@ -94,13 +94,13 @@
             row_era=content.era,
             store_era=takeover.era,
             kept=[report.window for report in content.reports],
-            told=sorted(self._sharing.heard),
+            told=sorted(self._sharing.received_reports),
             own=[report.window for report in own],
             left_out=left_out,
             next_window=self._ledger.next_window,
         )
 
-    def _leave_out(self, takeover: Takeover, content: LeaseContent) -> None:
+    def _skip_lost_decisions(self, takeover: Takeover, content: LeaseContent) -> None:
         """Skip windows whose reports may have been decided and then lost by a restore of the store.
 
         Any lost decision was made before the store was restored from the older copy, and so before
@@ -113,7 +113,7 @@
             return
         self._ledger.pass_over(self._sharing.true_time.at(takeover.seen_s))
 
-    def _read(self, before: LeaseReading) -> LeaseContent:
+    def _read_content(self, before: LeaseReading) -> LeaseContent:
         """Return the state that the previous holder stored, or an empty one if it is unreadable."""
         if before.row is None or not before.row.content:
             return LeaseContent()
@@ -123,7 +123,7 @@
             logs.event("lease.unreadable", holder=before.row.holder, detail=type(exc).__name__)
             return LeaseContent()
 
-    def content(self, era: int) -> bytes:
+    def decide_content(self, era: int) -> bytes:
         """Decide the reports that are due, and return the state to store with the next renewal.
 
         Args:
@@ -159,24 +159,24 @@
             )
         )
 
-    def renewed(self) -> None:
-        """Mark what content() returned as stored, and send it to the other candidates."""
+    def on_renewed(self) -> None:
+        """Mark what decide_content() returned as stored, and send it to the other candidates."""
         self._kept_windows, self._kept_next = self._pending, self._pending_next
         reports = [report for report in self._ledger.reports() if not report.sent]
         addresses = [member.peer_address for member in self._candidates.others()]
-        self._sharing.tell_news(reports, addresses)
-        self._sharing.tell_time(TIME_RECEIVERS)
+        self._sharing.send_reports(reports, addresses)
+        self._sharing.send_true_time(TIME_RECEIVERS)
 
     async def step(self) -> None:
         """Try to send the stored reports that are still unsent, each at most once in this step."""
         unsent = self._ledger.unsent(self._sharing.true_s())
         kept = [report for report in unsent if report.window in self._kept_windows]
-        for report in kept[:MOST_IN_A_STEP]:
+        for report in kept[:MAX_REPORTS_PER_STEP]:
             await self._send(report)
 
     async def _send(self, report: Report) -> None:
         """Send a report, unless the lease does not allow the call."""
-        with self._keeper.acting(DUTY_CALL_S) as credentials:
+        with self._keeper.credentials_for_call(DUTY_CALL_S) as credentials:
             if credentials is None:
                 return
             result = await self._platform.report_usage(credentials, report)
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter_test.py
@@ -1,4 +1,4 @@
-"""Tests of going on with the reports after a lease was taken: which windows are left to decide."""
+"""Tests of usage_reporter.py: which windows are still to be decided after a takeover."""
 
 from types import SimpleNamespace
 
@@ -16,13 +16,13 @@
 from springbridge_node.gateway.duties.usage_sharing import UsageSharing
 
 WINDOW_S = 5.0
-# True time at the steady second 0, the start of window 100.
+# True time at second 0 of the steady clock, the start of window 100.
 START_S = 500.0
 
 
 @pytest.fixture
 def reporter():
-    """Return a reporter at the steady second 20 that has counts of windows 100 to 103."""
+    """Return a reporter at second 20 of the steady clock, with counts of windows 100 to 103."""
     candidates = SimpleNamespace(others=list)
     sharing = UsageSharing(candidates, "run-1", WINDOW_S, lambda: 20.0, lambda: START_S + 20.0)
     for window in range(100, 104):
@@ -31,14 +31,14 @@
 
 
 def takeover(content, *, row_era, store_era, seen_s=16.0, **more):
-    """Return the takeover of a lease whose row has a content, at the steady second 20."""
+    """Return a takeover at second 20 of the steady clock, of a row with the given content."""
     row = LeaseRow("node-2", "run-2", False, content, row_era)
     reading = LeaseReading(stamp(store_era, 7), row, 20.0)
     return Takeover(reading, seen_s, 20.0, **more)
 
 
 def kept(next_window, era):
-    """Return what a holder kept in an era."""
+    """Return the content that a holder stored in an era."""
     return lease_content.to_bytes(
         LeaseContent(wall_ahead_s=START_S, next_window=next_window, era=era)
     )
@@ -50,56 +50,56 @@
 
 
 def test_a_row_of_this_era_says_what_is_left_to_decide(reporter):
-    reporter.taken(takeover(kept(100, era=1), row_era=1, store_era=1))
+    reporter.continue_from(takeover(kept(100, era=1), row_era=1, store_era=1))
     assert_that(next_window(reporter), Equals(100))
 
 
-# Guards against a second report of a window: its first one stood in a row that the store has lost.
+# Guards against a second report of a window whose first one was in a row that the store has lost.
 @pytest.mark.parametrize("row_era", [0, 1])
 def test_windows_that_an_older_copy_may_have_forgotten_are_left_out(reporter, row_era):
-    # Windows 100 and 101 were over and settled when the row was first seen; 102 was not.
-    reporter.taken(takeover(kept(100, era=0), row_era=row_era, store_era=1, seen_s=13.0))
+    # Windows 100 and 101 were settled when the row was first seen; 102 was not.
+    reporter.continue_from(takeover(kept(100, era=0), row_era=row_era, store_era=1, seen_s=13.0))
     assert_that(next_window(reporter), Equals(102))
     assert_that(reporter.missed, Equals(2))
 
 
 def test_the_clock_of_an_earlier_holder_may_have_been_ahead(reporter):
     settled_s = 10.0 + SETTLE_S
-    reporter.taken(
+    reporter.continue_from(
         takeover(kept(100, era=0), row_era=0, store_era=1, seen_s=settled_s - 0.9 * AHEAD_S)
     )
     assert_that(next_window(reporter), Equals(102))
 
 
 def test_a_row_without_content_leaves_out_what_may_have_been_decided(reporter):
-    reporter.taken(takeover(b"", row_era=1, store_era=1, seen_s=13.0))
+    reporter.continue_from(takeover(b"", row_era=1, store_era=1, seen_s=13.0))
     assert_that(next_window(reporter), Equals(102))
 
 
 def test_the_first_holder_of_all_decides_from_the_first_counts_on(reporter):
-    reporter.taken(Takeover(LeaseReading(0, None, 20.0), 16.0, 20.0))
+    reporter.continue_from(Takeover(LeaseReading(0, None, 20.0), 16.0, 20.0))
     assert_that(next_window(reporter), Equals(100))
 
 
 def test_reports_that_peers_told_of_are_sent_though_their_windows_are_left_out(reporter):
-    reporter._sharing.heard[101] = Report(101, {"councils": 7})
-    reporter.taken(takeover(kept(100, era=0), row_era=0, store_era=1, seen_s=13.0))
-    reporter.content(1)
+    reporter._sharing.received_reports[101] = Report(101, {"councils": 7})
+    reporter.continue_from(takeover(kept(100, era=0), row_era=0, store_era=1, seen_s=13.0))
+    reporter.decide_content(1)
     assert_that(reporter._ledger.reports(), Contains(Report(101, {"councils": 7})))
     assert_that([each.window for each in reporter._ledger.reports()], Not(Contains(100)))
     assert_that(reporter.missed, Equals(1))
 
 
 def test_a_holder_that_nobody_can_have_followed_goes_on_where_it_was(reporter):
-    reporter.taken(takeover(kept(101, era=0), row_era=0, store_era=0))
-    reporter.content(0)
-    reporter.renewed()
-    reporter.taken(takeover(b"", row_era=1, store_era=1, seen_s=16.0, alone_until_s=17.0))
+    reporter.continue_from(takeover(kept(101, era=0), row_era=0, store_era=0))
+    reporter.decide_content(0)
+    reporter.on_renewed()
+    reporter.continue_from(takeover(b"", row_era=1, store_era=1, seen_s=16.0, alone_until_s=17.0))
     assert_that(next_window(reporter), Equals(103))
     assert_that(reporter.missed, Equals(0))
 
 
 def test_content_of_an_earlier_build_has_the_era_of_its_row(reporter):
     content = kept(100, era=1).replace(b',"era":1', b"")
-    reporter.taken(takeover(content, row_era=1, store_era=1))
+    reporter.continue_from(takeover(content, row_era=1, store_era=1))
     assert_that(next_window(reporter), Equals(100))
--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_sharing.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_sharing.py
@@ -27,7 +27,7 @@
 from springbridge_node.gateway.peers.datagrams import Kind, PeerDatagrams
 
 # Seconds between two messages. The counts of this time are lost if the node crashes.
-TELL_S = 0.5
+SEND_INTERVAL_S = 0.5
 # Seconds for which a changed count is resent: three messages.
 RESEND_S = 1.6
 # Most customers in one datagram, some 20 bytes each.
@@ -41,7 +41,7 @@
       true_time: This node's estimate of the time of day.
       usage: Requests of all nodes whose counts were received.
       demand: Work of all nodes whose counts were received.
-      heard: Reports that holders decided and sent to this node, by window.
+      received_reports: Reports that holders decided and sent to this node, by window.
     """
 
     def __init__(
@@ -66,25 +66,25 @@
         self._datagrams: PeerDatagrams | None = None
         self.usage = FleetUsage()
         self.demand = FleetDemand(clock)
-        self.heard: dict[int, Report] = {}
+        self.received_reports: dict[int, Report] = {}
 
     def connect(self, datagrams: PeerDatagrams) -> None:
         """Start sending and receiving counts."""
         self._datagrams = datagrams
-        datagrams.handle(Kind.USAGE, self._take_usage)
-        datagrams.handle(Kind.DUTY_NEWS, self._take_news)
+        datagrams.handle(Kind.USAGE, self._receive_counts)
+        datagrams.handle(Kind.DUTY_NEWS, self._receive_reports)
 
     def true_s(self) -> float:
         """Return the current true time, in seconds since the start of 1970."""
         return self.true_time.at(self._clock())
 
-    def sent(self, admitted: Admitted) -> None:
+    def count_work(self, admitted: Admitted) -> None:
         """Add the work of a request that is sent to endpoints, in prompt tokens."""
         arrival = admitted.arrival
         work = request_work(arrival.prompt_tokens, arrival.answer_tokens)
         self._work[admitted.service.name] = self._work.get(admitted.service.name, 0) + work
 
-    def began(self, customer: str) -> None:
+    def count_request(self, customer: str) -> None:
         """Count a request of a customer that an endpoint began."""
         true_s = self.true_s()
         self._own.began(customer, true_s)
@@ -94,33 +94,33 @@
     async def step(self) -> None:
         """Send the candidates the counts that they may lack, and expire old ones."""
         self.true_time.look(self._clock(), self._wall())
-        self._forget()
+        self._expire()
         receivers = {member.incarnation: member for member in self._candidates.others()}
         new = receivers.keys() - self._told_to
         self._told_to = set(receivers)
-        news = list(self._news())
+        news = list(self._recent_counts())
         everything = self._own.windows()
-        self._tell(news, [receivers[name].peer_address for name in receivers.keys() - new])
-        self._tell(everything, [receivers[name].peer_address for name in new])
+        self._send_counts(news, [receivers[name].peer_address for name in receivers.keys() - new])
+        self._send_counts(everything, [receivers[name].peer_address for name in new])
         for each in everything:
             told = ToldUsage(self._incarnation, self._started_s, each.window, each.counts)
             self.usage.take(told)
         for service, total in self._work.items():
             self.demand.take(self._incarnation, service, total)
 
-    def tell_news(self, reports: list[Report], addresses: list[str]) -> None:
+    def send_reports(self, reports: list[Report], addresses: list[str]) -> None:
         """Send nodes the true time and the decided reports."""
         if self._datagrams is not None and addresses:
             self._datagrams.send(
-                Kind.DUTY_NEWS, duty_rows.news_rows(self.true_s(), reports), addresses
+                Kind.DUTY_NEWS, duty_rows.holder_rows(self.true_s(), reports), addresses
             )
 
-    def tell_time(self, nodes: int) -> None:
+    def send_true_time(self, nodes: int) -> None:
         """Send the true time to some nodes, chosen at random."""
         if self._datagrams is not None:
-            self.tell_news([], self._datagrams.sample_peers(nodes))
+            self.send_reports([], self._datagrams.sample_peers(nodes))
 
-    def _news(self) -> Iterator[WindowCounts]:
+    def _recent_counts(self) -> Iterator[WindowCounts]:
         """Return the counts that candidates may lack, by window."""
         recent_s, true_s = self._clock() - RESEND_S, self.true_s()
         for each in self._own.windows():
@@ -136,16 +136,16 @@
             if changed:
                 yield WindowCounts(each.window, changed)
 
-    def _tell(self, windows: list[WindowCounts], addresses: list[str]) -> None:
+    def _send_counts(self, windows: list[WindowCounts], addresses: list[str]) -> None:
         """Send counts and the total work, in as many datagrams as needed."""
         if self._datagrams is None or not addresses or not (windows or self._work):
             return
-        parts = [part for each in windows for part in _parts(each)]
+        parts = [part for each in windows for part in _split(each)]
         for part in parts or [duty_rows.NO_COUNTS]:
             told = duty_rows.usage_rows(self._incarnation, self._started_s, part, self._work)
             self._datagrams.send(Kind.USAGE, told, addresses)
 
-    def _take_usage(self, rows: list, sender: str) -> None:
+    def _receive_counts(self, rows: list, sender: str) -> None:
         """Merge the counts that a node sent."""
         told, work = duty_rows.read_usage(rows)
         if told is not None:
@@ -153,26 +153,28 @@
         for service, total in work.tokens.items():
             self.demand.take(work.incarnation, service, total)
 
-    def _take_news(self, rows: list, sender: str) -> None:
+    def _receive_reports(self, rows: list, sender: str) -> None:
         """Apply the true time and the reports that the holder sent."""
-        news = duty_rows.read_news(rows)
+        news = duty_rows.read_holder_update(rows)
         self.true_time.told(self._clock(), news.true_s)
         for report in news.reports:
-            self.heard.setdefault(report.window, report)
+            self.received_reports.setdefault(report.window, report)
 
-    def _forget(self) -> None:
+    def _expire(self) -> None:
         """Drop counts and reports that are too old to be used."""
         true_s = self.true_s()
         self._own.forget(true_s)
         first = window_at(true_s - KEPT_S, self._own.window_s)
         self.usage.forget(first)
-        self.heard = {window: each for window, each in self.heard.items() if window >= first}
+        self.received_reports = {
+            window: each for window, each in self.received_reports.items() if window >= first
+        }
         self.demand.forget()
         recent_s = self._clock() - RESEND_S
         self._changed_s = {key: at_s for key, at_s in self._changed_s.items() if at_s > recent_s}
 
 
-def _parts(whole: WindowCounts) -> Iterator[WindowCounts]:
+def _split(whole: WindowCounts) -> Iterator[WindowCounts]:
     """Split the counts of a window into parts that fit into a datagram."""
     items = list(whole.counts.items())
     for start in range(0, len(items), CUSTOMERS_PER_DATAGRAM):
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -235,7 +235,7 @@
             every(DISCOVERY_INTERVAL_S, self.discovery.step, DISCOVERY_DELAY_S),
             every(0.0, self.catch_up.step),
             every_tick(SWEEP_S, self._sweep),
-            *(self.duties.work() if self.duties is not None else ()),
+            *(self.duties.periodic_work() if self.duties is not None else ()),
         )
 
     def is_ready(self) -> bool:
--- a/packages/springbridge-node/springbridge_node/gateway/metrics_page.py
+++ b/packages/springbridge-node/springbridge_node/gateway/metrics_page.py
@@ -34,4 +34,4 @@
     telemetry.store_steps.set(gateway.store_steps)
     telemetry.dropped_lines.set(bounded_log.dropped())
     if gateway.duties is not None:
-        gateway.duties.show(telemetry)
+        gateway.duties.set_gauges(telemetry)
--- a/packages/springbridge-standins/springbridge_standins/lease_histories.py
+++ b/packages/springbridge-standins/springbridge_standins/lease_histories.py
@@ -198,7 +198,7 @@
         while True:
             await asyncio.sleep(ACT_S)
             await self.thawed()
-            with self.keeper.acting(CALL_S) as credentials:
+            with self.keeper.credentials_for_call(CALL_S) as credentials:
                 if credentials is not None:
                     self._history.acted(self.name, credentials.token)
                     await asyncio.sleep(CALL_S * self._history.rng.random())
--- a/packages/springbridge-standins/springbridge_standins/mutants/duty_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/duty_mutants.py
@@ -43,7 +43,7 @@
     Mutant(
         "a lease: it is handed on once no call is under way",
         f"{NODE}/gateway/duties/lease_keeper.py",
-        "        self._tenure = None\n        while self._acting:",
+        "        self._tenure = None\n        while self._calls_in_progress:",
         "        while False:",
         f"{NODE}/gateway/duties/lease_keeper_test.py",
     ),
@@ -85,7 +85,7 @@
     Mutant(
         "orders: none before the list has been seen whole",
         f"{NODE}/gateway/duties/scaler.py",
-        "if not domains or not self._is_whole(service, domains):",
+        "if not domains or not self._is_list_complete(service, domains):",
         "if not domains:",
         SCALER,
     ),
--- a/packages/springbridge-standins/springbridge_standins/usage_histories.py
+++ b/packages/springbridge-standins/springbridge_standins/usage_histories.py
@@ -20,7 +20,7 @@
 from springbridge.problems import Problem
 from springbridge_node.gateway.duties.duty_platform import Credentials
 from springbridge_node.gateway.duties.usage_reporter import UsageReporter
-from springbridge_node.gateway.duties.usage_sharing import TELL_S, UsageSharing
+from springbridge_node.gateway.duties.usage_sharing import SEND_INTERVAL_S, UsageSharing
 from springbridge_node.gateway.peers.datagrams import Handler, Kind
 
 from springbridge_standins.lease_histories import NODES, DrawnNode, History
@@ -105,7 +105,9 @@
         self.reporter = UsageReporter(
             self.keeper, self.sharing, DrawnPlatform(history, self), self, WINDOW_S
         )
-        self.keeper.connect(self.reporter.taken, self.reporter.content, self.reporter.renewed)
+        self.keeper.connect(
+            self.reporter.continue_from, self.reporter.decide_content, self.reporter.on_renewed
+        )
         self._tasks += [
             asyncio.ensure_future(work) for work in (self._count(), self._share(), self._report())
         ]
@@ -126,11 +128,11 @@
         while True:
             await asyncio.sleep(REQUEST_S * (0.5 + self._history.rng.random()))
             await self.thawed()
-            self.sharing.began("councils")
+            self.sharing.count_request("councils")
 
     async def _share(self) -> None:
         while True:
-            await asyncio.sleep(TELL_S)
+            await asyncio.sleep(SEND_INTERVAL_S)
             await self.thawed()
             await self.sharing.step()
 
