--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -257,7 +257,7 @@
         self._refusing = True
         self.listener.stop_accepting()
 
-    async def hand_on_duties(self) -> None:
+    async def release_duties(self) -> None:
         """Release the lease of the duties, so that another node takes over."""
         if self.duties is not None:
             await self.duties.leave()
--- a/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
@@ -25,7 +25,7 @@
 SETTINGS_POLL_S = 1.0
 
 # Exceptions from a settings file that is unreadable, lacks a value or has a value of another type.
-UNUSABLE = (ValueError, KeyError, OSError, TypeError, IndexError, AttributeError)
+SETTINGS_ERRORS = (ValueError, KeyError, OSError, TypeError, IndexError, AttributeError)
 
 Load = Callable[[], GatewaySettings]
 
@@ -75,7 +75,7 @@
     end_s = began_s + planned_stop.last_answer_s(grace_s)
     logs.event("node.leaving", in_progress=len(gateway.listener.in_progress))
     gateway.leave()
-    handing_on = asyncio.ensure_future(gateway.hand_on_duties())
+    handing_on = asyncio.ensure_future(gateway.release_duties())
     await asyncio.sleep(planned_stop.serve_on_s(grace_s))
     gateway.refuse_new()
     while gateway.listener.in_progress and loop.time() < end_s:
@@ -92,22 +92,22 @@
 
 async def _reload(gateway: Gateway, settings_path: str, load: Load, changed: asyncio.Event) -> None:
     """Reload the settings whenever the file has changed or SIGHUP was received."""
-    seen = _modified(settings_path)
+    seen = _file_version(settings_path)
     while True:
         await pause(SETTINGS_POLL_S, changed)
         signalled = changed.is_set()
         changed.clear()
-        now = _modified(settings_path)
+        now = _file_version(settings_path)
         if now == seen and not signalled:
             continue
         seen = now
         try:
             gateway.reload(load())
-        except UNUSABLE as exc:
+        except SETTINGS_ERRORS as exc:
             logs.event("settings.refused", kind=type(exc).__name__, detail=str(exc))
 
 
-def _modified(path: str) -> tuple[int, int]:
+def _file_version(path: str) -> tuple[int, int]:
     """Return modification time and inode of a file; a rewrite changes at least one of them."""
     try:
         found = os.stat(path)
--- a/packages/springbridge-node/springbridge_node/gateway/lifecycle_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle_test.py
@@ -25,7 +25,7 @@
         """Note the step."""
         self.steps.append("leave")
 
-    async def hand_on_duties(self):
+    async def release_duties(self):
         """Note the step."""
         self.steps.append("hand on")
 
--- a/packages/springbridge-node/springbridge_node/gateway/loading.py
+++ b/packages/springbridge-node/springbridge_node/gateway/loading.py
@@ -9,7 +9,7 @@
 
 
 @contextmanager
-def kept_for_good() -> Iterator[None]:
+def excluded_from_gc() -> Iterator[None]:
     """Disable garbage collection in the block, and exclude what it creates from later collections.
 
     Modules, classes and functions live until the process ends, but the collector traverses all of
--- a/packages/springbridge-node/springbridge_node/gateway/loading_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/loading_test.py
@@ -6,7 +6,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan
 
-from springbridge_node.gateway.loading import kept_for_good
+from springbridge_node.gateway.loading import excluded_from_gc
 
 
 @pytest.fixture
@@ -18,7 +18,7 @@
 
 def test_the_search_rests_within_the_block_and_leaves_out_what_it_made(frozen):
     before = frozen()
-    with kept_for_good():
+    with excluded_from_gc():
         assert_that(gc.isenabled(), Equals(False))
         made = [[] for _ in range(100)]
     assert_that(gc.isenabled(), Equals(True))
@@ -26,6 +26,6 @@
 
 
 def test_a_failed_load_leaves_the_search_on(frozen):
-    with pytest.raises(ImportError), kept_for_good():
+    with pytest.raises(ImportError), excluded_from_gc():
         raise ImportError
     assert_that(gc.isenabled(), Equals(True))
