--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
@@ -14,7 +14,7 @@
 from springbridge_node.gateway.duties.usage_reporter import UsageReporter
 from springbridge_node.gateway.duties.usage_sharing import SEND_INTERVAL_S, UsageSharing
 from springbridge_node.gateway.gateway_settings import DutySettings
-from springbridge_node.gateway.outside import Outside
+from springbridge_node.gateway.outside import PlatformPorts
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 from springbridge_node.gateway.telemetry import Telemetry
 from springbridge_node.periodic import every, every_tick
@@ -114,10 +114,10 @@
     settings: DutySettings,
     membership: Membership,
     registry: EndpointRegistry,
-    outside: Outside,
+    ports: PlatformPorts,
     services: Callable[[], dict[str, Service]],
 ) -> DutyParts | None:
     """Return the duties of a node, or None if its settings or its platform have none."""
-    if outside.duties is None or not settings.has_any:
+    if ports.duties is None or not settings.has_any:
         return None
-    return DutyParts(settings, membership, registry, outside.store, outside.duties, services)
+    return DutyParts(settings, membership, registry, ports.store, ports.duties, services)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -1,7 +1,7 @@
 """Assembles a node that routes by host and path, and runs its listeners and periodic tasks.
 
 Everything specific to the platform (store, formats, small interfaces) comes through the ports in
-Outside.
+PlatformPorts.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 from springbridge_node.gateway.gateway_settings import GatewaySettings
 from springbridge_node.gateway.http.small_server import TEXT, Reply, serve_small
 from springbridge_node.gateway.metrics_page import METRICS_PATH, set_gauges
-from springbridge_node.gateway.outside import Outside
+from springbridge_node.gateway.outside import PlatformPorts
 from springbridge_node.gateway.peers.config_catch_up import ConfigurationCatchUp
 from springbridge_node.gateway.peers.datagrams import PeerDatagrams
 from springbridge_node.gateway.peers.evacuation_sharing import EvacuationSharing
@@ -85,10 +85,10 @@
       store_steps: Number of times the store was found restored from an older copy.
     """
 
-    def __init__(self, settings: GatewaySettings, outside: Outside) -> None:
+    def __init__(self, settings: GatewaySettings, ports: PlatformPorts) -> None:
         """Create and connect the parts; nothing is started yet."""
         self.settings = settings
-        self._outside = outside
+        self._ports = ports
         self.telemetry = Telemetry()
         self.membership = Membership(member_of(settings), clock.now_s, random.Random(), PACE)
         self.registry = EndpointRegistry(clock.now_s, settings.drain_s)
@@ -99,15 +99,15 @@
             services=lambda: self.configuration.services(),
         )
         self.selection_parts = SelectionParts(self.registry, self.membership, self.rates.table)
-        self.pool = ConnectionPool(self.live_nodes)
-        self.budget = SharedRetryBudget(settings.budget, self.live_nodes, clock.now_s)
+        self.pool = ConnectionPool(self.live_node_count)
+        self.budget = SharedRetryBudget(settings.budget, self.live_node_count, clock.now_s)
         self.readers = StoreReaders(
             self.membership,
             settings.asks_seeds_first,
             roles_after_s=ROLES_AFTER_S if settings.other_seeds else 0.0,
         )
         self.quarantine_parts = QuarantineParts(
-            self.membership, self.registry, self.pool, outside.store, self.readers, self.telemetry
+            self.membership, self.registry, self.pool, ports.store, self.readers, self.telemetry
         )
         self.peer_client = PeerClient(self.membership, lambda: list(self.settings.other_seeds))
         self.evacuations = EvacuationSharing(
@@ -118,7 +118,7 @@
             settings.duties,
             self.membership,
             self.registry,
-            outside,
+            ports,
             self.configuration.services,
         )
         self.endpoints = self._endpoint_follower()
@@ -129,13 +129,13 @@
             self.membership, self.configuration, self.endpoints, self.catch_up, self.is_ready
         )
         self.discovery = PeerDiscovery(
-            self.membership, outside.store, self.readers, lambda: self.settings.seeds
+            self.membership, ports.store, self.readers, lambda: self.settings.seeds
         )
         self.datagrams: PeerDatagrams | None = None
         self.store_steps = 0
         self._tasks: list[asyncio.Task] = []
         self._refusing = False
-        outside.store.on_older_copy(self._store_went_back)
+        ports.store.on_older_copy(self._store_went_back)
 
     def _store_went_back(self, era: int) -> None:
         """Read the configuration again, and repeat writes that the store may have lost."""
@@ -148,8 +148,8 @@
     def _configuration_follower(self) -> ConfigurationFollower:
         """Create the part that keeps the configuration up to date."""
         return ConfigurationFollower(
-            self._outside.store,
-            self._outside.read_configuration,
+            self._ports.store,
+            self._ports.read_configuration,
             self._configuration_installed,
             self.readers,
             on_evacuations=self.evacuations.read,
@@ -158,7 +158,7 @@
     def _endpoint_follower(self) -> EndpointFollower:
         """Create the part that keeps the endpoint list up to date."""
         return EndpointFollower(
-            self._outside.store,
+            self._ports.store,
             self.registry,
             self.membership,
             self.readers,
@@ -180,7 +180,7 @@
             registry=self.registry,
             pool=self.pool,
             budget=self.budget,
-            codec=self._outside.codec,
+            codec=self._ports.codec,
             selector=self.selection_parts.selector,
             request_log=RequestLog(self.telemetry),
             loads=self.selection_parts.loads,
@@ -202,8 +202,8 @@
         """Accept connections on all addresses of this node."""
         addresses = self.settings.addresses
         book = AddressBook(self.membership, address_ttl_s(self.settings.longest_ttl_s))
-        serve_small(addresses.ready, self._outside.ready_handlers(self.is_ready))
-        serve_small(addresses.directory, self._outside.directory_handlers(book))
+        serve_small(addresses.ready, self._ports.ready_handlers(self.is_ready))
+        serve_small(addresses.directory, self._ports.directory_handlers(book))
         serve_small(addresses.peers, peer_handlers(lambda: self.configuration, self.registry))
         serve_small(addresses.metrics, {METRICS_PATH: self._metrics})
         self.listener.listen(addresses.callers, CallerLimits())
@@ -294,7 +294,7 @@
         set_gauges(self)
         return Reply(200, self.telemetry.text(), TEXT)
 
-    def live_nodes(self) -> int:
+    def live_node_count(self) -> int:
         """Return the number of nodes that share the retry budget and the endpoints' connections."""
         return max(1, self.membership.live_count())
 
--- a/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
+++ b/packages/springbridge-node/springbridge_node/gateway/lifecycle.py
@@ -75,14 +75,14 @@
     end_s = began_s + planned_stop.last_answer_s(grace_s)
     logs.event("node.leaving", in_progress=len(gateway.listener.in_progress))
     gateway.leave()
-    handing_on = asyncio.ensure_future(gateway.release_duties())
+    releasing = asyncio.ensure_future(gateway.release_duties())
     await asyncio.sleep(planned_stop.serve_on_s(grace_s))
     gateway.refuse_new()
     while gateway.listener.in_progress and loop.time() < end_s:
         await asyncio.sleep(POLL_S)
     # If the store has not acknowledged the release by now, the successor waits until the lease has
     # expired.
-    handing_on.cancel()
+    releasing.cancel()
     logs.event(
         "node.left",
         cut_off=len(gateway.listener.in_progress),
--- a/packages/springbridge-node/springbridge_node/gateway/metrics_page.py
+++ b/packages/springbridge-node/springbridge_node/gateway/metrics_page.py
@@ -13,7 +13,7 @@
 def set_gauges(gateway: "Gateway") -> None:
     """Set all gauges to their current values."""
     telemetry = gateway.telemetry
-    telemetry.nodes.set(gateway.live_nodes())
+    telemetry.nodes.set(gateway.live_node_count())
     telemetry.quarantined.set(gateway.quarantine_parts.quarantined_count())
     telemetry.endpoints.set(len(gateway.registry.entries()))
     telemetry.limited_endpoints.set(len(gateway.rates.table.limited()))
--- a/packages/springbridge-node/springbridge_node/gateway/outside.py
+++ b/packages/springbridge-node/springbridge_node/gateway/outside.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Outside:
+class PlatformPorts:
     """The ports of a node to its platform.
 
     Attributes:
--- a/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
@@ -10,7 +10,7 @@
 from springbridge.routing.shared_retry_budget import BudgetTerms
 from springbridge_node.gateway.gateway import Gateway
 from springbridge_node.gateway.gateway_settings import Addresses, DutySettings, GatewaySettings
-from springbridge_node.gateway.outside import Outside
+from springbridge_node.gateway.outside import PlatformPorts
 
 from springbridge_standins.free_addresses import free_ports
 from springbridge_standins.gateway.engine import EngineStandIn, Script
@@ -21,7 +21,7 @@
 BUDGET = BudgetTerms(ratio=0.2, slack=20, window_s=10.0)
 # Ports that each node listens on.
 PORTS = 6
-MakeOutside = Callable[[str], Outside]
+MakeOutside = Callable[[str], PlatformPorts]
 
 
 @dataclass
