--- a/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/store_readers_test.py
@@ -1,4 +1,4 @@
-"""Tests of store_readers.py: who reads the store for all, and who stands in when."""
+"""Tests of store_readers.py: which nodes read the store, and when others read in their place."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def fleet(clock):
-    """Return the readers as each node of a fleet sees them."""
+    """Return the StoreReaders of each node of a fleet."""
     members = [Member(f"n{number}", f"n{number}", "", "", "a") for number in range(NODES)]
     views = []
     for me in members:
@@ -55,15 +55,15 @@
 
 def test_only_a_node_that_asks_seeds_first_waits_for_them(clock):
     membership = Membership(Member("n", "n", "", "", "a"), clock, random.Random(1))
-    waits = [StoreReaders(membership, asks, clock).seeds_come_first() for asks in (True, False)]
+    waits = [StoreReaders(membership, asks, clock).waits_for_seeds() for asks in (True, False)]
     assert_that(waits, Equals([True, False]))
     readers = StoreReaders(membership, True, clock)
     clock.now_s += ASK_SEEDS_FIRST_S
-    assert_that(readers.seeds_come_first(), Equals(False))
+    assert_that(readers.waits_for_seeds(), Equals(False))
 
 
 def test_a_node_that_has_just_started_reads_for_nobody_else(clock):
-    # Every node of a fleet that starts together knows itself only, and would take all roles.
+    # When a whole fleet starts, each node at first knows only itself, and would take every role.
     membership = Membership(Member("n", "n", "", "", "a"), clock, random.Random(1))
     readers = StoreReaders(membership, False, clock, roles_after_s=ROLES_AFTER_S)
     assert_that(readers.include_me(READERS), Equals(False))
--- a/packages/springbridge-node/springbridge_node/gateway/metrics_page.py
+++ b/packages/springbridge-node/springbridge_node/gateway/metrics_page.py
@@ -1,4 +1,4 @@
-"""Sets the gauges of a node's metrics when they are read."""
+"""Updates the gauges of a node's metrics at each scrape."""
 
 from typing import TYPE_CHECKING
 
@@ -11,9 +11,9 @@
 
 
 def set_gauges(gateway: "Gateway") -> None:
-    """Set all gauges to what holds now."""
+    """Set all gauges to their current values."""
     telemetry = gateway.telemetry
-    telemetry.nodes.set(gateway.live_nodes())
+    telemetry.nodes.set(gateway.live_node_count())
     telemetry.quarantined.set(gateway.quarantine_parts.quarantined_count())
     telemetry.endpoints.set(len(gateway.registry.entries()))
     telemetry.limited_endpoints.set(len(gateway.rates.table.limited()))
@@ -34,4 +34,4 @@
     telemetry.store_steps.set(gateway.store_steps)
     telemetry.dropped_lines.set(bounded_log.dropped())
     if gateway.duties is not None:
-        gateway.duties.show(telemetry)
+        gateway.duties.set_gauges(telemetry)
