--- a/packages/springbridge-node/springbridge_node/gateway/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -1,8 +1,8 @@
 """Serves a request from its arrival to the end of its answer.
 
-The steps: admit the request, select an endpoint, connect, send and relay (`attempt`), record what
-that showed; then decide whether another endpoint may get the request, or give it up at once. The
-decisions are the rules of `springbridge.routing`; this module holds their order and no threshold.
+The steps: admit the request, select an endpoint, connect, send and relay (`attempt`), record the
+outcome; then either retry at another endpoint or give up. The decisions are the rules of
+`springbridge.routing`; this module calls them in order and contains no thresholds.
 """
 
 import asyncio
@@ -48,11 +48,12 @@
 
 @dataclass(frozen=True)
 class RouterParts:
-    """What a router works with.
+    """Dependencies of a router.
 
     Attributes:
       index: Returns the newest configuration, or None before the first.
-      configuration_due_s: Returns when callers should come back before the first, in seconds.
+      configuration_due_s: Returns the seconds after which callers should retry while there is no
+        configuration yet.
       failure_domain: Failure domain of this instance.
     """
 
@@ -73,7 +74,7 @@
 
 
 class RequestRouter:
-    """Serves requests; it keeps no state of its own between them."""
+    """Serves requests; keeps no state between them."""
 
     def __init__(self, parts: RouterParts) -> None:
         """Keep the parts."""
@@ -83,7 +84,7 @@
         """Serve one request; on return its answer has ended.
 
         Raises:
-          CallerGoneError: The caller is gone.
+          CallerGoneError: The caller has closed its connection.
         """
         arrival = self._parts.codec.read_arrival(request)
         match admit(self._parts.index(), arrival, self._parts.configuration_due_s()):
@@ -97,18 +98,18 @@
     async def refuse(
         self, request: IncomingRequest, answer: CallerAnswer, problem: Problem
     ) -> None:
-        """Refuse a request whatever the configuration says of it."""
+        """Refuse a request without admitting it, whatever the configuration allows."""
         arrival = self._parts.codec.read_arrival(request)
         self._parts.request_log.refused(arrival, problem, self._version())
         await answer.refuse(problem)
 
     def _version(self) -> int:
-        """Return the version of the configuration that decides now, 0 before the first."""
+        """Return the version of the configuration in force, 0 before the first."""
         index = self._parts.index()
         return index.configuration.version if index else 0
 
     async def _serve_admitted(self, exchange: Exchange) -> None:
-        """Serve a request that the configuration allows, and log its end in any case."""
+        """Serve an admitted request, and log its outcome even if it fails or is cancelled."""
         self._parts.budget.note_request(exchange.demand.service)
         self._parts.usage.sent(exchange.admitted)
         ending = CALLER_LEFT
@@ -121,7 +122,11 @@
             self._parts.request_log.ended(exchange, ending, self._parts.registry.age_s())
 
     async def _until_deadline(self, exchange: Exchange) -> Problem | None:
-        """Make attempts until the answer is whole, there are no more, or time is up."""
+        """Make attempts until the answer is complete, no attempt is left or the deadline passes.
+
+        Returns:
+          None once the answer is complete, else why it is not.
+        """
         try:
             async with asyncio.timeout(exchange.admitted.deadline_s - clock.now_s()):
                 return await self._make_attempts(exchange)
@@ -129,7 +134,7 @@
             return giving_up.at_deadline(exchange.route, exchange.attempts())
 
     async def _make_attempts(self, exchange: Exchange) -> Problem | None:
-        """Try endpoint after endpoint; return None once the answer is out, else why it is not."""
+        """Try one endpoint after another; see _until_deadline for what is returned."""
         route, progress = exchange.route, exchange.progress
         while True:
             left_out = progress.tried | progress.avoided
@@ -154,11 +159,12 @@
                 return giving_up.after_failed_attempt(route, exchange.attempts(), outcome)
 
     async def _send(self, exchange: Exchange, choice: Choice | None) -> End | Problem | None:
-        """Send the request to the selected endpoint and return how that ended.
+        """Send the request to the selected endpoint, once its rate limit permits it.
 
         Returns:
-          A problem if it may be sent to none, None if this one takes it not now or there was no
-          connection to it.
+          How the attempt ended; a problem if the request may not be sent to any endpoint; None if
+          nothing was sent because the endpoint does not accept the request now or could not be
+          connected to.
         """
         if choice is None:
             return self._without_endpoint(exchange)
@@ -169,7 +175,7 @@
             return await self._send_permitted(exchange, choice)
 
     def _without_endpoint(self, exchange: Exchange) -> Problem:
-        """Return the problem of a request for which no endpoint was found."""
+        """Return why a request for which no endpoint was selected is given up."""
         route, attempts = exchange.route, exchange.attempts()
         exchange.progress.obstacles = self._parts.registry.obstacles(exchange.demand.service)
         spent = self._parts.rates.gate.spent(exchange)
@@ -181,7 +187,7 @@
         return giving_up.without_endpoint(route, attempts)
 
     async def _send_permitted(self, exchange: Exchange, choice: Choice) -> End | Problem | None:
-        """Send the request to an endpoint that takes it; see _send for what is returned."""
+        """Send the request to an endpoint that permits it; see _send for what is returned."""
         with self._retry(exchange) as may_send:
             if not may_send:
                 return giving_up.without_endpoint(exchange.route, exchange.attempts())
@@ -191,18 +197,18 @@
             if not self._parts.registry.may_get_request(
                 choice.state, exchange.progress.last_resort
             ):
-                # What the endpoint has said since it was chosen holds for this request as well.
+                # The endpoint may have announced since the selection that it leaves or rests.
                 self._parts.pool.release(choice.state.entry.incarnation, connection)
                 return None
             end = await self._attempt(exchange, choice, connection)
         if await self._parts.gate.note_end(exchange, choice.state, end):
-            # Nobody listens there: no other request has to find out.
+            # No process listens there any more, so other requests need not try it.
             self._parts.loads.unreached(choice.state.entry)
         return end
 
     @contextlib.contextmanager
     def _retry(self, exchange: Exchange) -> Iterator[bool]:
-        """Give whether the request may be sent; a retry goes back if the block sends nothing."""
+        """Yield whether the request may be sent; refund the retry if the block sends nothing."""
         sends = exchange.progress.sends
         may_send = self._may_send(exchange)
         try:
@@ -212,7 +218,7 @@
                 self._parts.budget.give_back(exchange.demand.service)
 
     def _may_send(self, exchange: Exchange) -> bool:
-        """Return whether the request may go to one more endpoint; a retry uses up the budget."""
+        """Return whether the request may go to one more endpoint; a retry draws on the budget."""
         attempts = exchange.attempts()
         if not retries.may_pass_over_more(attempts):
             return False
@@ -223,7 +229,7 @@
         return self._parts.budget.try_retry(exchange.demand.service)
 
     async def _connect(self, exchange: Exchange, state: EndpointState) -> HttpConnection | None:
-        """Return a connection to an endpoint; if there is none, the endpoint is passed over."""
+        """Return a connection to an endpoint, or None; then this request does not try it again."""
         repeatable = retries.is_repeatable(exchange.route)
         endpoint_id = state.entry.endpoint_id
         try:
@@ -234,16 +240,16 @@
             self._parts.loads.unreached(state.entry)
             self._parts.request_log.unreachable(exchange, endpoint_id, str(exc))
         except EndpointBusyError:
-            # Not logged: under load this is usual, and the end of the request is logged.
+            # Not logged: this is common under load, and the end of the request is logged.
             exchange.progress.busy += 1
         exchange.progress.unreached += 1
         exchange.progress.tried.add(endpoint_id)
         return None
 
     async def _attempt(self, exchange: Exchange, choice: Choice, connection: HttpConnection) -> End:
-        """Send the request to one endpoint, pass on its answer, and record how that ended.
+        """Send the request to one endpoint, relay its answer, and record how that ended.
 
-        No await may come before the send; see `attempt._send`.
+        There must be no await before the send; see `attempt._send`.
         """
         incarnation = choice.state.entry.incarnation
         chosen = ChosenEndpoint.from_choice(choice, exchange.demand, clock.now_s())
@@ -269,7 +275,7 @@
         return end
 
     def _record(self, exchange: Exchange, state: EndpointState, end: End) -> None:
-        """Note what an attempt showed of its endpoint, and log it unless it delivered."""
+        """Record the outcome of an attempt for its endpoint, and log it unless it delivered."""
         if end is End.DELIVERED:
             self._parts.registry.succeeded(state)
             return
@@ -280,7 +286,7 @@
         self._parts.request_log.attempt_failed(exchange, state.entry.endpoint_id, end)
 
     async def _give_up(self, exchange: Exchange, problem: Problem) -> None:
-        """End the answer of a request that no further endpoint gets."""
+        """End the answer of a request that is not retried any more."""
         answer, failure = exchange.answer, exchange.progress.failure
         match giving_up.final_answer(problem, answer.started, failure is not None):
             case FinalAnswer.CUT_OFF:
