--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -1,4 +1,7 @@
-"""One attempt: sends a request to an endpoint and takes the answer to the caller."""
+"""One attempt: sends a request to an endpoint and relays the answer to the caller.
+
+A failure that another endpoint may do better is held back instead of relayed.
+"""
 
 from collections.abc import Callable
 
@@ -26,14 +29,15 @@
     codec: RequestCodec,
     heard: Callable[[Verdict, float], None],
 ) -> End:
-    """Send a request to the chosen endpoint, pass its answer on, and return how that ended.
+    """Send a request to the chosen endpoint, relay its answer, and return how that ended.
 
     Args:
-      heard: Called with what the head of the answer says, and with when the request was sent.
+      heard: Called with the metadata in the head of the answer and the time when the request was
+        sent, on the clock of `clock.now_s`.
 
     Raises:
-      TimeoutError: Too little time is left; nothing was sent.
-      CallerGoneError: The caller is gone.
+      TimeoutError: Too little time is left before the deadline; nothing was sent.
+      CallerGoneError: The caller has closed its connection.
     """
     ran_before = exchange.progress.may_have_run
     sent_s = clock.now_s()
@@ -62,7 +66,7 @@
     the endpoint time to close it, and a request that may not run twice would be lost on it.
 
     Raises:
-      TimeoutError: Too little time is left; nothing was sent.
+      TimeoutError: Too little time is left before the deadline; nothing was sent.
     """
     entry, progress = choice.state.entry, exchange.progress
     left_s = exchange.admitted.deadline_s - clock.now_s()
@@ -82,7 +86,7 @@
 async def _turned_away(
     exchange: Exchange, connection: HttpConnection, head: Head, verdict: Verdict
 ) -> End:
-    """Read the answer of an endpoint that promises not to have run the request."""
+    """Read the answer of an endpoint that guarantees that it has not run the request."""
     await read_whole(connection, head)
     if verdict.other_endpoint:
         exchange.progress.misdirected += 1
@@ -97,7 +101,7 @@
     verdict: Verdict,
     codec: RequestCodec,
 ) -> End:
-    """Pass an answer on, or hold back a failure that another endpoint may do better."""
+    """Relay an answer, or hold back a failure so that another endpoint can be tried."""
     if not exchange.route.streaming and exchange.progress.load is not None:
         exchange.progress.load.read()
     if giving_up.holds_failure(exchange.route, head.status):
--- a/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
@@ -1,8 +1,8 @@
-"""Passes an endpoint's answer on to the caller.
+"""Relays an endpoint's answer to the caller.
 
-Nothing is passed on before it can no longer be taken back: an answer without events waits until it
-is whole (or too large to wait), a stream until its first whole event. Until then another endpoint
-may be asked where the route allows that.
+An answer can be retried at another endpoint, where the route allows that, only until its first byte
+is sent to the caller. So a plain answer is buffered until it is complete or exceeds the buffer, and
+a stream until its first complete event.
 """
 
 from http import HTTPStatus
@@ -15,19 +15,19 @@
 from springbridge_node.gateway.requests.exchange import Exchange, HeldFailure, Progress
 from springbridge_node.gateway.requests.request_codec import RequestCodec
 
-# Bytes of a plain answer that are held back until it is whole, so that another endpoint can still
-# answer if it breaks. Bounds the memory for each request in progress.
+# Bytes of a plain answer that are buffered until it is complete, so that another endpoint can still
+# answer if the connection breaks. Bounds the memory of each request in progress.
 HELD_BYTES = 256 << 10
 
 
 async def relay(
     exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
 ) -> None:
-    """Pass on an answer: by events if it is a stream, else as a whole.
+    """Relay an answer: event by event if it is a stream, else as a plain body.
 
     Raises:
       AnswerBrokenError: The endpoint's answer ended early.
-      CallerGoneError: The caller is gone.
+      CallerGoneError: The caller has closed its connection.
     """
     if exchange.route.streaming and head.status < HTTPStatus.MULTIPLE_CHOICES:
         await _relay_events(exchange, connection, head, codec)
@@ -37,10 +37,10 @@
 
 
 async def relay_failure(exchange: Exchange, failure: HeldFailure, codec: RequestCodec) -> None:
-    """Pass on an endpoint's own failure that was held back.
+    """Relay an endpoint's own failure that was held back.
 
     Raises:
-      CallerGoneError: The caller is gone.
+      CallerGoneError: The caller has closed its connection.
     """
     await _start(exchange, failure.head, codec, failure.body, len(failure.body))
     exchange.answer.finish()
@@ -49,7 +49,7 @@
 async def _relay_plain(
     exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
 ) -> None:
-    """Pass on an answer without events: at once when it is whole, in pieces when it is large."""
+    """Relay a plain answer: in one write if it fits the buffer, else in pieces."""
     answer = exchange.answer
     held = bytearray()
     async for piece in connection.read_body(head):
@@ -66,9 +66,9 @@
 async def _relay_events(
     exchange: Exchange, connection: HttpConnection, head: Head, codec: RequestCodec
 ) -> None:
-    """Pass on a stream event by event, from behind the last event that the caller has.
+    """Relay a stream event by event, skipping events that the caller already has.
 
-    Half an event is dropped if the stream breaks.
+    An incomplete event is dropped if the stream breaks.
     """
     progress = exchange.progress
     splitter = EventSplitter()
@@ -86,7 +86,10 @@
 
 
 def _is_fresh(progress: Progress, event_id: str | None) -> bool:
-    """Return whether the caller lacks an event."""
+    """Return whether the caller does not have an event yet.
+
+    Events without an id, and ids that are not numbers, count as new.
+    """
     if event_id is None or progress.last_event is None:
         return True
     if event_id.isdecimal() and progress.last_event.isdecimal():
@@ -95,7 +98,7 @@
 
 
 async def _pass_on(exchange: Exchange, head: Head, codec: RequestCodec, data: bytes) -> None:
-    """Send a piece of a stream, with the head before the first."""
+    """Send a piece of a stream to the caller, preceded by the head if it is the first."""
     if exchange.answer.started:
         exchange.progress.piece_passed_on(clock.now_s())
         await exchange.answer.write(data)
@@ -109,7 +112,7 @@
     """Send the head of an answer and its first piece.
 
     Args:
-      length: Bytes of the body, or None if the connection's framing tells its end.
+      length: Bytes of the body, or None if its end is marked by chunking or by closing.
     """
     headers = codec.caller_headers(head)
     if length is not None:
