--- a/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_selector.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_selector.py
@@ -1,8 +1,9 @@
-"""Selects the endpoint of an attempt: at this instance, or by asking a coordinator that knows more.
+"""Selects the endpoint of an attempt, at this instance or through a coordinator of the service.
 
-An instance that hears of all requests for a service weighs their cost. One that does not asks a
-coordinator, and if none answers, it goes by the prompt's shared part, which needs no knowledge of
-the others' requests. The rules are in `springbridge.routing`; this module picks the one that suits.
+A coordinator receives the load of all requests for its service and selects by their token cost. Any
+other instance sends the selection to a coordinator. If none answers, it selects by the prompt's
+shared part, which needs no knowledge of other instances' requests. The rules are in
+`springbridge.routing`; this module picks the one that applies.
 """
 
 from collections.abc import Collection
@@ -40,11 +41,11 @@
 
         Args:
           tried: Ids of the endpoints that no further attempt goes to.
-          held_back: Ids of the endpoints whose rate is spent for this instance.
+          held_back: Ids of the endpoints whose rate limit is exhausted for this instance.
         """
         if self._coordinators.includes_me(demand.service):
             return select(self._registry, demand, tried, by_token_cost, held_back=held_back)
-        # Without a prompt only the requests in flight count, so no coordinator is asked.
+        # A request without a prompt is selected by requests in flight, which needs no coordinator.
         if demand.prompt_parts:
             attempt_id = self._loads.new_attempt_id()
             selection = await self._client.ask(demand, tried, attempt_id, held_back)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
@@ -1,7 +1,7 @@
-"""The records of a request in progress: what it needs, and what became of it so far.
+"""The state of a request in progress: its requirements and the attempts made so far.
 
-Owns no behaviour: the router and the attempts change `Progress`, the rules of `routing` read it as
-`Attempts`, and the request log writes it down.
+Contains no behaviour: the router and the attempts update `Progress`, the rules of `routing` read it
+as `Attempts`, and the request log writes it out.
 """
 
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldFailure:
-    """An endpoint's own failure, kept in case no other endpoint does better."""
+    """An endpoint's own failure, kept to be relayed if no other endpoint succeeds."""
 
     head: Head
     body: bytes
@@ -26,15 +26,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ChosenEndpoint:
-    """An endpoint that a request was sent to, with what this instance knew of it then.
+    """An endpoint that a request was sent to, with its load as known to this instance then.
 
     Attributes:
-      in_flight: Requests that it had.
-      prefill_tokens: Prompt tokens that it had still to read.
+      in_flight: Requests in flight at the endpoint.
+      prefill_tokens: Prompt tokens that it had not processed yet.
       kept_tokens: Tokens of this prompt that its cache probably held.
-      source: Endpoint that it was told to fetch more of the prompt from, "" for none.
+      source: Endpoint from whose cache it should fetch more of the prompt, "" for none.
       coordinator: Address of the coordinator that chose it, "" for this instance.
-      sent_s: When it was sent there, on the clock of all ages.
+      sent_s: When the request was sent there, on the clock of `clock.now_s`.
     """
 
     endpoint: str
@@ -47,7 +47,7 @@
 
     @classmethod
     def from_choice(cls, choice: Choice, demand: Demand, sent_s: float) -> "ChosenEndpoint":
-        """Return the record of a choice, taken before the request counts at the endpoint."""
+        """Return the record of a choice; called before the request is counted at the endpoint."""
         state = choice.state
         return cls(
             endpoint=state.entry.endpoint_id,
@@ -62,27 +62,27 @@
 
 @dataclass
 class Progress:
-    """What became of a request so far.
+    """The progress of a request so far.
 
     Attributes:
       tried: Endpoints that no further attempt goes to.
-      chosen: The endpoints it was sent to, in order.
+      chosen: The endpoints that it was sent to, in order.
       sends, misdirected, unreached, busy, may_have_run, last_event: See `Attempts`.
       first_piece_s: When the caller got the first piece of the answer, on the monotonic clock;
         None before.
       last_piece_s: When the caller got the latest piece of it, on the same clock.
-      longest_pause_s: Longest time between two pieces so far.
+      longest_pause_s: Longest time between two pieces so far, in seconds.
       failure: The last failure that an endpoint answered with and that was held back.
       load: The current attempt in the load that instances share.
-      avoided: Endpoints that it must not go to now because of other requests on trial there.
+      avoided: Endpoints that it must not go to now because other suspects are on trial there.
       on_trial: Whether the current attempt is a trial; see quarantine_gate.py.
       held_since_s: When it began to wait for a trial, on the monotonic clock; 0 before.
-      held_back: Endpoints that it got no permit for since it was sent last.
-      permit_wait_s: How long it has waited for permits of endpoints that name a rate, in seconds.
-      last_resort: Whether the endpoint chosen last had said by then that it leaves.
-      obstacles: What stood against how many endpoints of its service when none was found, by the
-        names in eligibility.py.
-      fingerprint: What the request has in common with other tries of the same; "" until it is
+      held_back: Endpoints that denied it a permit since it was sent last.
+      permit_wait_s: Seconds that it has waited for permits of endpoints with a rate limit.
+      last_resort: Whether the endpoint chosen last was known to be leaving when it was chosen.
+      obstacles: Number of endpoints of its service that each obstacle ruled out when none could be
+        selected; keyed by the names in eligibility.py.
+      fingerprint: Hash that is the same whenever the same request is sent again; "" until it is
         needed, see request_fingerprint.py.
     """
 
@@ -109,7 +109,7 @@
     fingerprint: str = ""
 
     def piece_passed_on(self, now_s: float) -> None:
-        """Note that the caller gets a piece of the answer now."""
+        """Record the time at which a piece of the answer is sent to the caller."""
         if self.first_piece_s is None:
             self.first_piece_s = now_s
         else:
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """A caller's request with all that its attempts need."""
+    """A caller's request with everything that its attempts need."""
 
     request: IncomingRequest
     admitted: Admitted
@@ -138,7 +138,7 @@
         return self.admitted.arrival.request_id
 
     def attempts(self) -> Attempts:
-        """Return the attempts so far as the rules for retries and giving up see them."""
+        """Return the attempts so far in the form that the rules for retries and giving up read."""
         progress = self.progress
         return Attempts(
             sends=progress.sends,
