--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
@@ -1,7 +1,9 @@
-"""Keeps requests that end endpoints from them, and records what each attempt showed of its request.
+"""Keeps requests that crash endpoints away from them, and records the outcome of each attempt.
 
-The rules are `springbridge.quarantine` and `springbridge.trials`; this module asks them before each
-attempt. While no endpoint ends there are no records, and a request costs one comparison here.
+A request that was running when endpoints crashed is a suspect: it is sent only as a trial, which a
+coordinator has to grant, and is refused while it is in quarantine. The rules are in
+`springbridge.quarantine` and `springbridge.trials`; this module applies them before each attempt.
+While no endpoint crashes there are no records, and a request costs one comparison here.
 """
 
 import asyncio
@@ -27,10 +29,10 @@
 from springbridge_node.gateway.requests.quarantine_log import QuarantineLog
 from springbridge_node.gateway.requests.request_fingerprint import fingerprint_of
 
-# Seconds between two questions of a request that waits for a trial. A small share of the time that
-# a request takes.
+# Seconds between two checks of a request that waits for a trial. A small share of the time that a
+# request takes.
 LOOK_S = 0.1
-# Ends after which the endpoint went on, so that the request does not end endpoints.
+# Ends that show that the endpoint survived the request.
 GOOD_ENDS = frozenset({End.DELIVERED, End.ENDPOINT_ERROR})
 
 
@@ -39,8 +41,9 @@
     """Whether an attempt may be made now.
 
     Attributes:
-      may_send: It may; if not and there is no problem, an endpoint has to be selected anew.
-      trial: Name of the trial that it is, whose end has to be told; "" for none.
+      may_send: Whether it may; if not and there is no problem, an endpoint has to be selected
+        again.
+      trial: Id of the trial that the attempt is, whose end has to be reported; "" for none.
       problem: Why the request is given up, or None.
     """
 
@@ -55,10 +58,10 @@
 
 @dataclass(frozen=True)
 class GateParts:
-    """What the gate works with.
+    """Dependencies of the gate.
 
     Attributes:
-      incarnation: Of this node.
+      incarnation: Incarnation of this instance.
     """
 
     incarnation: str
@@ -71,7 +74,7 @@
 
 
 class QuarantineGate:
-    """Asks before each attempt, and notes what it showed."""
+    """Decides before each attempt whether it may be made, and records its outcome."""
 
     def __init__(self, parts: GateParts) -> None:
         """Keep the parts."""
@@ -83,7 +86,7 @@
         """Return whether a request may be sent to the selected endpoint.
 
         Args:
-          choice: None if there is no endpoint, or none but those that have enough trials.
+          choice: None if there is no endpoint, or only endpoints that run enough trials already.
         """
         avoided = exchange.progress.avoided
         if self._is_free(exchange):
@@ -99,17 +102,17 @@
         return await self._ask(exchange, choice)
 
     def _is_free(self, exchange: Exchange) -> bool:
-        """Return whether nothing is held against a request."""
+        """Return whether a request is neither a suspect nor in quarantine."""
         if not len(self._records):
             return True
         found = self._parts.quarantine.verdict(fingerprint_of(exchange))
         return found.standing is Standing.FREE
 
     async def _ask(self, exchange: Exchange, choice: Choice) -> Clearance:
-        """Ask for a trial."""
+        """Ask the coordinator for a trial of the request at the selected endpoint."""
         fingerprint = fingerprint_of(exchange)
         endpoint_id = choice.state.entry.endpoint_id
-        # New among those of all nodes, and the same until the request is sent.
+        # Unique among the trials of all instances, and the same until the request is sent.
         trial = f"{self._parts.incarnation}/{exchange.request_id}/{exchange.progress.sends}"
         left_s = exchange.admitted.deadline_s - clock.now_s()
         service = exchange.demand.service
@@ -118,7 +121,7 @@
                 fingerprint, trial, service, endpoint_id, left_s
             )
         except asyncio.CancelledError:
-            # The caller left; the trial may have been granted meanwhile.
+            # The caller has disconnected; the trial may have been granted meanwhile.
             self._parts.permits.end(fingerprint, trial, service)
             raise
         match permission.answer:
@@ -135,7 +138,7 @@
                 return self._refused(exchange, permission.wait_s)
 
     async def _hold(self, exchange: Exchange) -> Clearance:
-        """Wait a moment for a trial to end; give the request up if it has waited for too long."""
+        """Wait a moment for another trial to end, or give up a request that has waited too long."""
         progress = exchange.progress
         now_s = clock.now_s()
         progress.held_since_s = progress.held_since_s or now_s
@@ -147,14 +150,14 @@
         return LOOK_AGAIN
 
     def _refused(self, exchange: Exchange, wait_s: float) -> Clearance:
-        """Return that the request is given up."""
+        """Return that the request is given up because it is in quarantine."""
         crashes = self._parts.quarantine.verdict(fingerprint_of(exchange)).crashes
         problem = giving_up.in_quarantine(exchange.attempts(), crashes, wait_s)
         return Clearance(problem=problem)
 
     @contextlib.contextmanager
     def attempt(self, exchange: Exchange, clearance: Clearance) -> Iterator[None]:
-        """Let a trial run for as long as the block does."""
+        """Mark a trial, if there is one, as running during the block, and report its end after."""
         exchange.progress.on_trial = bool(clearance.trial)
         try:
             yield
@@ -166,7 +169,7 @@
                 )
 
     async def note_end(self, exchange: Exchange, state: EndpointState, end: End) -> bool:
-        """Record what an attempt showed of its request, and return whether its endpoint ended."""
+        """Record the outcome of an attempt for its request; return whether its endpoint crashed."""
         if end in GOOD_ENDS and len(self._records):
             self._acquit(exchange)
         if end is not End.BROKEN:
@@ -182,7 +185,7 @@
         return has_crashed
 
     def _acquit(self, exchange: Exchange) -> None:
-        """Note a good end."""
+        """Clear a request, whose endpoint survived it, of the crashes recorded so far."""
         fingerprint = fingerprint_of(exchange)
         before = self._parts.quarantine.verdict(fingerprint)
         if not self._records.acquit(fingerprint):
@@ -196,7 +199,7 @@
             self._parts.stored.left(fingerprint)
 
     def _note_crash(self, exchange: Exchange, state: EndpointState, on_trial: bool) -> None:
-        """Note that the endpoint ended while it ran the request."""
+        """Record that the endpoint crashed while it ran the request."""
         fingerprint = fingerprint_of(exchange)
         entry = state.entry
         crash = crash_id(entry.endpoint_id, entry.born_ms)
@@ -209,7 +212,7 @@
             self._parts.stored.entered(fingerprint)
 
     def forget_old(self) -> None:
-        """Drop what is too old to count."""
+        """Drop refusals and crash records that have expired."""
         now_s = self._records.now_s()
         self._refused_until_s = {
             name: until_s for name, until_s in self._refused_until_s.items() if until_s > now_s
