--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
@@ -1,8 +1,9 @@
-"""Keeps requests from endpoints whose rate is spent.
+"""Keeps requests away from endpoints whose rate limit is exhausted.
 
-An endpoint that names a rate gets a request only with a permit of its granter (rate_permits.py).
-While no endpoint names one, a request costs one comparison here. A request that gets no permit goes
-to another endpoint, without a retry taken from the budget and without a failure counted.
+An endpoint may state a rate limit in its answers. It then gets a request only with a permit of its
+granter, the instance that grants the permits of that endpoint (rate_permits.py). While no endpoint
+states a limit, a request costs one comparison here. A request that gets no permit goes to another
+endpoint, without using the retry budget and without counting a failure.
 """
 
 import contextlib
@@ -19,20 +20,20 @@
 from springbridge_node.gateway.requests.exchange import Exchange
 from springbridge_node.gateway.requests.rate_gate_log import RateGateLog
 
-# Longest time in seconds that one request spends on asking granters, some round trips. Its caller
-# waits meanwhile.
+# Seconds that one request may wait for granters in total, some round trips. Its caller waits
+# meanwhile.
 LONGEST_ASKING_S = 0.04
 # Seconds for which an endpoint is held back whose granter did not answer in that time, or could not
-# be asked. After that the substitute is asked.
+# be asked. After that the substitute granter is asked.
 NOT_ANSWERED_S = 0.1
 
 
 @dataclass(frozen=True)
 class RateGateParts:
-    """The parts that a RateGate asks.
+    """Dependencies of a RateGate.
 
     Attributes:
-      clock: Returns the moment in seconds.
+      clock: Returns the current time in seconds.
     """
 
     table: RateTable
@@ -43,7 +44,7 @@
 
 
 class RateGate:
-    """Asks before each attempt at an endpoint that names a rate."""
+    """Acquires a permit before each attempt at an endpoint that states a rate limit."""
 
     def __init__(self, parts: RateGateParts) -> None:
         """Keep the parts."""
@@ -51,10 +52,10 @@
         self._held = HeldBack(parts.clock)
 
     def held_back(self, exchange: Exchange) -> set[str]:
-        """Return the endpoints that a request must not go to now.
+        """Return the ids of the endpoints that a request must not go to now.
 
-        Those that it asked for in vain are among them, whatever became of their rates: it would
-        look for an endpoint for ever where it finds the same one each time.
+        Endpoints that denied it a permit are included even if their limit has ended since:
+        otherwise selection could return the same endpoint for ever.
         """
         table = self._parts.table
         if not len(table):
@@ -63,7 +64,11 @@
         return exchange.progress.held_back | {each for each in held if table.is_limited(each)}
 
     async def may_send(self, exchange: Exchange, entry: EndpointEntry) -> bool:
-        """Return whether a request may be sent to an endpoint; if not, it is held back."""
+        """Acquire a permit if the endpoint has a limit; if denied, hold the endpoint back.
+
+        Returns:
+          Whether the request may be sent to the endpoint.
+        """
         if self._parts.table.per_s(entry.incarnation) is None:
             return True
         if await self._ask(exchange, entry):
@@ -72,7 +77,7 @@
         return False
 
     async def _ask(self, exchange: Exchange, entry: EndpointEntry) -> bool:
-        """Ask for a permit, and return whether there is one."""
+        """Ask the granter for a permit, and return whether it was granted."""
         parts, progress = self._parts, exchange.progress
         priority = exchange.demand.priority
         left_s = LONGEST_ASKING_S - progress.permit_wait_s
@@ -92,7 +97,7 @@
 
     @contextlib.contextmanager
     def permit(self, exchange: Exchange, entry: EndpointEntry) -> Iterator[None]:
-        """Give the permit back if the block sends nothing."""
+        """Hold the permit during the block, and give it back if the block sends nothing."""
         is_limited = self._parts.table.per_s(entry.incarnation) is not None
         sends = exchange.progress.sends
         exchange.progress.held_back.clear()
@@ -103,7 +108,7 @@
                 self._parts.permits.give_back(entry)
 
     def spent(self, exchange: Exchange) -> RatesSpent | None:
-        """Return that endpoints which could serve a request have spent their rate, or None."""
+        """Return the exhausted rate limits that keep a request from its endpoints, or None."""
         held = self.held_back(exchange)
         if not held:
             return None
@@ -122,6 +127,6 @@
         )
 
     def forget_old(self) -> None:
-        """Drop what is over."""
+        """Drop expired holds and the permits of endpoints that are gone."""
         self._held.forget_old()
         self._parts.permits.forget_gone()
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
@@ -1,4 +1,8 @@
-"""Takes in what endpoints say of themselves in the heads of their answers, of whatever kind."""
+"""Records what endpoints state about themselves in the heads of their answers.
+
+A statement is a rate limit, a request for rest or the announcement that the endpoint leaves. Any
+answer may carry one, whatever its status.
+"""
 
 from collections.abc import Callable
 
@@ -14,7 +18,7 @@
 
 
 class StatementWatch:
-    """Notes what answers say."""
+    """Records statements in the registry and the rate table, and shares them with peers."""
 
     def __init__(
         self,
@@ -32,12 +36,12 @@
         self._clock = clock
 
     def heard(self, entry: EndpointEntry, request_id: str, verdict: Verdict, sent_s: float) -> None:
-        """Note what the head of an answer says.
+        """Record the statements in the head of an answer.
 
         Args:
           entry: The endpoint that the request was sent to.
-          request_id: The request that it answers, for the log.
-          sent_s: When the request was sent.
+          request_id: Id of the answered request, for the log.
+          sent_s: When the request was sent, on the monotonic clock.
         """
         if verdict.other_endpoint:
             return
@@ -54,7 +58,7 @@
             self._log.asks_rest(entry, request_id, said.rest_s, rest.until_s - self._clock())
 
     def _heard_rate(self, entry: EndpointEntry, stated: StatedRate, sent_s: float) -> None:
-        """Note what an answer says of a rate."""
+        """Record the rate limit that an answer states, or that it states none."""
         if stated == StatedRate() and not len(self._rates):
             return
         if is_readable(stated):
@@ -62,7 +66,7 @@
             self._sharing.heard(entry.incarnation, told)
 
     def _heard_leaving(self, entry: EndpointEntry, request_id: str) -> None:
-        """Note that an endpoint leaves."""
+        """Record that an endpoint leaves, and share it with peers if it is new."""
         if self._registry.heard_leaving(entry.incarnation):
             log_leaving(entry.endpoint_id, ANSWER, request_id)
             self._sharing.heard_leaving(entry.incarnation)
