--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate_log.py
@@ -1,4 +1,4 @@
-"""Logs and counts the permits that requests asked for."""
+"""Logs and counts the permits that requests asked for under endpoints' rate limits."""
 
 from springbridge.rates.grants import Grant
 from springbridge.routing.records import EndpointEntry
@@ -7,24 +7,24 @@
 from springbridge_node.gateway.requests.exchange import Exchange
 from springbridge_node.gateway.telemetry import Telemetry
 
-# What became of a question for a permit; values of logs and metrics.
+# Results of asking for a permit; values in logs and metrics.
 GRANTED = "granted"
 SPENT = "rate spent"
 SILENT = "granter silent"
 
 
 class RateGateLog:
-    """Writes the lines by which a request's id leads to the rates that held it back."""
+    """Logs by request id which rate limits held a request back."""
 
     def __init__(self, telemetry: Telemetry) -> None:
         """Keep the metrics."""
         self._telemetry = telemetry
 
     def asked(self, exchange: Exchange, entry: EndpointEntry, grant: Grant | None) -> None:
-        """Count a question, and log it unless it was granted.
+        """Count the result of asking for a permit, and log it unless it was granted.
 
         Args:
-          grant: The granter's answer, None if none came.
+          grant: The granter's answer, None if it did not answer.
         """
         if grant is not None and grant.granted:
             self._telemetry.permits.labels(GRANTED).inc()
@@ -40,5 +40,5 @@
         )
 
     def refused(self) -> None:
-        """Count a request that is refused since the rates of its endpoints are spent."""
+        """Count a request that is refused because its endpoints' rate limits are exhausted."""
         self._telemetry.rate_refusals.inc()
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts.py
@@ -1,4 +1,7 @@
-"""Joins what takes in the statements of endpoints and keeps to their rates; see rate_gate.py."""
+"""Wires the parts that record endpoints' statements and enforce their rate limits.
+
+See statement_watch.py for the statements and rate_gate.py for the limits.
+"""
 
 from collections.abc import Callable, Mapping
 
@@ -21,13 +24,13 @@
 
 
 class RateParts:
-    """The parts that take in what endpoints say, and keep to their rates.
+    """The parts that record endpoints' statements and enforce their rate limits.
 
     Attributes:
-      table: The rates in force.
-      sharing: Tells peers of statements.
-      gate: Asked before each attempt.
-      watch: Takes in what answers say.
+      table: The rate limits in force.
+      sharing: Shares statements with peers.
+      gate: Acquires a permit before each attempt.
+      watch: Records the statements in answers.
     """
 
     def __init__(
@@ -38,7 +41,7 @@
         clock: Callable[[], float] = now_s,
         services: Callable[[], Mapping[str, Service]] = dict,
     ) -> None:
-        """Join the parts.
+        """Create and connect the parts.
 
         Args:
           services: Returns the services of the configuration in force.
@@ -57,17 +60,17 @@
         )
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Begin to exchange rates and permits with peers."""
+        """Begin to exchange rate limits and permits with peers."""
         self.sharing.connect(datagrams)
         self._permits.connect(datagrams)
 
     async def beat(self) -> None:
-        """Do what is due at each heartbeat."""
+        """Run the periodic work; called at each heartbeat."""
         self.look_for_cold()
         await self.sharing.beat()
 
     def look_for_cold(self) -> None:
-        """Keep to the rates that services name for endpoints which are cold."""
+        """Apply the rate limits that services configure for cold endpoints."""
         services = self._services()
         rates = {}
         for state in self._registry.cold():
@@ -78,10 +81,10 @@
         self.table.set_cold(rates)
 
     def forget_gone(self, known: set[EndpointIncarnation]) -> None:
-        """Drop what belongs to endpoints that are gone, and what is over.
+        """Drop the limits and permits of endpoints that are gone, and expired holds.
 
         Args:
-          known: The endpoints that are listed or still have requests.
+          known: The endpoints that are listed or still have requests in flight.
         """
         self.table.keep_only(known)
         self.gate.forget_old()
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_log.py
@@ -1,7 +1,8 @@
-"""Logs what endpoints say of themselves, once for each change, and counts what is not understood.
+"""Logs endpoints' requests for rest, and what is not understood of their statements.
 
-Endpoints may send ever new values, so that what was logged is remembered up to a bound, after which
-only the metrics count on.
+A value that is not understood is logged once for each endpoint. Endpoints may send ever new values,
+so what was logged is remembered up to a bound; after that no new value is logged, and only the
+metrics go on counting.
 """
 
 from springbridge.rates.statements import StatedRate, is_literal, is_readable, rate_of
@@ -11,16 +12,17 @@
 from springbridge_node import logs
 from springbridge_node.gateway.telemetry import Telemetry
 
-# Values and names that are remembered, so that each is logged once for each endpoint. Bounds memory
-# and log.
+# Logged values and header names that are remembered, so that each is logged once for each endpoint.
+# Bounds the memory and the log.
 MOST_LOGGED = 100
-# Names of unknown headers that are counted by themselves; those beyond are counted together.
+# Unknown headers that are counted under their own names; further ones are counted together. Bounds
+# the labels of the metric.
 MOST_COUNTED = 30
 OTHERS = "others"
 
 
 class StatementLog:
-    """Writes the lines about statements."""
+    """Logs and counts statements in answers."""
 
     def __init__(self, telemetry: Telemetry) -> None:
         """Keep the metrics."""
@@ -31,11 +33,11 @@
     def asks_rest(
         self, entry: EndpointEntry, request_id: str, rest_s: float, left_s: float
     ) -> None:
-        """Log that an endpoint has turned a request away and asked for rest.
+        """Log that an endpoint has refused a request and asked for rest.
 
         Args:
-          rest_s: The rest that it named, in seconds.
-          left_s: Seconds until it gets a request of this instance again.
+          rest_s: The rest that it asked for, in seconds.
+          left_s: Seconds until this instance sends it a request again.
         """
         self._telemetry.rests.inc()
         logs.event(
@@ -47,7 +49,7 @@
         )
 
     def not_understood(self, entry: EndpointEntry, said: AnswerStatements) -> None:
-        """Log once what is passed over, or kept to as something else."""
+        """Log each statement that is ignored or interpreted as a different value, once."""
         if not is_literal(said.rate):
             self._rate_not_literal(entry, said.rate)
         for each in said.unreadable:
@@ -64,7 +66,7 @@
                 logs.event("engine.unknown_header", engine=entry.endpoint_id, header=name)
 
     def _rate_not_literal(self, entry: EndpointEntry, stated: StatedRate) -> None:
-        """Log once that a rate is ignored, or kept to as another one."""
+        """Log once that a rate limit is ignored or interpreted as a different one."""
         value = stated.unreadable or str(stated.per_s)
         if not self._is_new(entry, "rate", value):
             return
@@ -74,14 +76,17 @@
         )
 
     def _count_unknown(self, name: str) -> None:
-        """Count a header by its name, as long as there are not too many."""
+        """Count an unknown header, by its name while there are few, else among the others."""
         if name not in self._counted and len(self._counted) >= MOST_COUNTED:
             name = OTHERS
         self._counted.add(name)
         self._telemetry.unknown_headers.labels(name).inc()
 
     def _is_new(self, entry: EndpointEntry, header: str, value: str) -> bool:
-        """Return whether something was not logged before, and remember it."""
+        """Return whether a value has to be logged, and remember it.
+
+        Returns False if it was logged before or the bound is reached.
+        """
         seen = (entry.endpoint_id, header, value)
         if seen in self._logged or len(self._logged) >= MOST_LOGGED:
             return False
