--- a/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_answer.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_answer.py
@@ -1,4 +1,8 @@
-"""Reads an endpoint's answer: its head, matched to the request and in time, and its whole body."""
+"""Reads an endpoint's answer: its head, within a time limit, and its whole body.
+
+The head is matched to the request by id, so that a stale answer of another request on the same
+connection is skipped.
+"""
 
 import asyncio
 
@@ -6,8 +10,8 @@
 from springbridge_node.gateway.http.http_head import AnswerBrokenError, Head
 from springbridge_node.gateway.requests.request_codec import RequestCodec
 
-# Answers of other requests that are passed over on a connection before it counts as broken. Bounds
-# the reading for an endpoint that mixes up its answers.
+# Answers that are read from a connection in search of the right one before it counts as broken.
+# Bounds the reading from an endpoint that mixes up its answers.
 STALE_ANSWERS = 3
 
 
@@ -24,8 +28,8 @@
       seconds: How long to wait for it, or None for no limit but the request's deadline.
 
     Raises:
-      SilentError: It did not come in time.
-      AnswerBrokenError: The connection ended, or brought only answers of other requests.
+      SilentError: It did not arrive in time.
+      AnswerBrokenError: The connection ended, or carried only answers of other requests.
     """
     limit = asyncio.timeout(seconds)
     try:
@@ -38,7 +42,7 @@
 
 
 async def _read_own_head(connection: HttpConnection, codec: RequestCodec, request_id: str) -> Head:
-    """Return the head of the answer that belongs to a request, passing over stale answers."""
+    """Return the head of the answer that belongs to a request, skipping stale answers."""
     for _ in range(STALE_ANSWERS):
         head = await connection.read_head()
         answered = codec.verdict(head).request_id
@@ -48,7 +52,7 @@
             break
         async for _ in connection.read_body(head):
             pass
-    raise AnswerBrokenError("answers of other requests")
+    raise AnswerBrokenError("only answers of other requests")
 
 
 async def read_whole(connection: HttpConnection, head: Head) -> bytes:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_codec.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_codec.py
@@ -1,7 +1,7 @@
-"""Port: how requests and answers are written on the wire.
+"""Port: how requests and answers are encoded on the wire.
 
-The router and the attempts speak records and HTTP heads; header names and statuses with a meaning
-of their own belong to the implementation, one for each platform.
+The router and the attempts work on records and HTTP heads. Header names and statuses with a special
+meaning belong to the implementation, one for each platform.
 """
 
 from dataclasses import dataclass
@@ -17,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the head of an endpoint's answer says about the attempt.
+    """What the head of an endpoint's answer says about the attempt and the endpoint.
 
     Attributes:
-      request_id: The request that the answer belongs to, "" where it does not say.
-      not_run: The endpoint promises that it has not run the request and never will.
-      other_endpoint: Another endpoint than the one meant has this address now.
-      statements: What the answer says of its endpoint.
+      request_id: Id of the request that the answer belongs to, "" if the answer has none.
+      not_run: The endpoint guarantees that it has not run the request and never will.
+      other_endpoint: A different endpoint than the intended one now has this address.
+      statements: What the endpoint states about itself.
     """
 
     request_id: str
@@ -36,7 +36,7 @@
     """Translates between HTTP messages and the records of `springbridge.routing`."""
 
     def read_arrival(self, request: IncomingRequest) -> Arrival:
-        """Return what routing has to know of a request, never its content."""
+        """Return the fields of a request that routing needs, never its content."""
 
     def endpoint_request(
         self,
@@ -52,11 +52,11 @@
         Args:
           source: Endpoint whose cache holds more of the prompt, to fetch that from, or None.
           left_s: Time left to the request's deadline, in seconds.
-          resume_after: Id of the last event that the caller has got, or None.
+          resume_after: Id of the last event that the caller has received, or None.
         """
 
     def verdict(self, head: Head) -> Verdict:
-        """Return what the head of an endpoint's answer says about the attempt."""
+        """Parse the metadata in the head of an endpoint's answer."""
 
     def caller_headers(self, head: Head) -> HTTPHeaders:
-        """Return the headers of an endpoint's answer that the caller gets."""
+        """Return the headers of an endpoint's answer that are relayed to the caller."""
