--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_log.py
@@ -1,4 +1,4 @@
-"""Logs and counts what is held of requests that were running when endpoints ended."""
+"""Logs and counts the standing of requests that were running when endpoints crashed."""
 
 from springbridge.quarantine import Verdict
 
@@ -9,14 +9,14 @@
 
 
 class QuarantineLog:
-    """Writes the lines by which a request's id leads to the crashes that it was part of."""
+    """Logs by request id the crashes during which a request was running."""
 
     def __init__(self, telemetry: Telemetry) -> None:
         """Keep the metrics."""
         self._telemetry = telemetry
 
     def crashed(self, exchange: Exchange, endpoint_id: str, found: Verdict, on_trial: bool) -> None:
-        """Log that an endpoint ended while it ran a request of this node."""
+        """Log that an endpoint crashed while it ran a request of this instance."""
         self._telemetry.crashes.labels(found.standing.value).inc()
         logs.event(
             "request.crashed_engine",
@@ -29,7 +29,7 @@
         )
 
     def acquitted(self, exchange: Exchange, before: Verdict) -> None:
-        """Log that a request which was under suspicion came to a good end."""
+        """Log that an endpoint survived a request that was a suspect or in quarantine."""
         logs.event(
             "request.acquitted",
             request_id=exchange.request_id,
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_parts.py
@@ -1,4 +1,7 @@
-"""Joins what keeps requests that end endpoints from them; see quarantine_gate.py."""
+"""Wires the parts that keep requests that crash endpoints away from them.
+
+See quarantine_gate.py.
+"""
 
 from collections.abc import Callable
 
@@ -26,9 +29,9 @@
     """The parts of the quarantine.
 
     Attributes:
-      sharing: Tells peers of crashes; its beat is due at each heartbeat.
-      stored: Keeps the quarantine in the store; its step is due now and then.
-      gate: Asked before each attempt.
+      sharing: Shares crash records with peers; its beat is to be called at each heartbeat.
+      stored: Keeps the quarantine in the store; its step is to be called periodically.
+      gate: Decides before each attempt whether it may be made.
     """
 
     def __init__(
@@ -41,7 +44,7 @@
         telemetry: Telemetry,
         clock: Callable[[], float] = now_s,
     ) -> None:
-        """Join the parts."""
+        """Create and connect the parts."""
         self._records = CrashRecords(clock)
         self._quarantine = Quarantine(self._records)
         coordinators = TrialCoordinators(membership)
@@ -66,7 +69,7 @@
         )
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Begin to exchange records and trials with peers."""
+        """Begin to exchange crash records and trials with peers."""
         self.sharing.connect(datagrams)
         self._permits.connect(datagrams)
 
@@ -76,6 +79,6 @@
         return sum(found.standing is Standing.QUARANTINED for found in verdicts)
 
     def _adopt(self, told: ToldRecord) -> None:
-        """Take in a record of the store and tell peers of it."""
+        """Merge a record read from the store and share it with peers."""
         self._records.merge(told)
         self.sharing.spread(told.fingerprint, "", was_known=True)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_fingerprint.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_fingerprint.py
@@ -1,4 +1,7 @@
-"""The fingerprint of a request in progress; see springbridge/fingerprints.py."""
+"""Computes the fingerprint by which a request is recognized when it is sent again.
+
+See springbridge/fingerprints.py.
+"""
 
 from springbridge.fingerprints import fingerprint
 
@@ -8,7 +11,7 @@
 def fingerprint_of(exchange: Exchange) -> str:
     """Return the fingerprint of a request, computed at the first call.
 
-    Most requests never need it: hashing their bodies would be work for nothing.
+    It is computed lazily because most requests never need it and hashing their bodies costs time.
     """
     progress = exchange.progress
     if not progress.fingerprint:
@@ -17,7 +20,7 @@
 
 
 def _fingerprint(exchange: Exchange) -> str:
-    """Return the fingerprint of what the endpoint gets, for whom."""
+    """Hash the customer and the parts of the request that the endpoint gets."""
     request, arrival = exchange.request, exchange.admitted.arrival
     return fingerprint(
         exchange.admitted.customer.encode(),
