--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -1,6 +1,7 @@
-"""Logs and counts what is decided on requests: one line for each decision, never any content.
+"""Logs and counts decisions on requests: one line for each decision, never any content.
 
-Owns the fields of these log lines; operators' tools read them, so names and units stay.
+Owns the fields of these log lines. Operators' tools read them, so their names and units must not
+change.
 """
 
 from dataclasses import dataclass
@@ -15,8 +16,8 @@
 from springbridge_node.gateway.requests.request_fingerprint import fingerprint_of
 from springbridge_node.gateway.telemetry import Telemetry
 
-# Seconds. Bounds the logged age of the endpoint list, which is infinite before the first list and
-# would not be a number in JSON. Beyond any age that occurs.
+# Upper bound in seconds for the logged age of the endpoint list, which is infinite before the first
+# list and could not be written as a number in JSON. Above any age that occurs.
 LONGEST_AGE_S = 1e6
 
 
@@ -26,7 +27,7 @@
 
     Attributes:
       result: Name of the result code, or one of the endings below; a label of the metrics.
-      reason: What decided that, "" where the result says all.
+      reason: What caused the result, "" where the result says it all.
     """
 
     result: str
@@ -38,7 +39,7 @@
 
 
 class RequestLog:
-    """Writes what was decided on requests to the log and the metrics."""
+    """Writes decisions on requests to the log and the metrics."""
 
     def __init__(self, telemetry: Telemetry) -> None:
         """Keep the metrics."""
@@ -57,7 +58,7 @@
         )
 
     def attempt_failed(self, exchange: Exchange, endpoint_id: str, end: End) -> None:
-        """Log an attempt that did not deliver an answer."""
+        """Log and count an attempt that did not deliver an answer."""
         self._telemetry.attempts.labels(end.value).inc()
         logs.event(
             "request.attempt_failed",
@@ -71,7 +72,7 @@
         )
 
     def endpoint_ejected(self, state: EndpointState, end: End) -> None:
-        """Log that an endpoint was ejected after failures in a row."""
+        """Log that an endpoint was ejected after consecutive failures."""
         logs.event(
             "engine.rests",
             engine=state.entry.endpoint_id,
@@ -81,7 +82,7 @@
         )
 
     def unreachable(self, exchange: Exchange, endpoint_id: str, reason: str) -> None:
-        """Log an endpoint to which no connection came up; it gets no request until one does."""
+        """Log a failed connection to an endpoint, which gets no request until one succeeds."""
         self._telemetry.attempts.labels("unreachable").inc()
         logs.event(
             "engine.unreachable",
@@ -92,7 +93,7 @@
         )
 
     def ended(self, exchange: Exchange, ending: Ending, list_age_s: float) -> None:
-        """Log the end of a request, with what decided it.
+        """Log the end of a request, with its result and the endpoints it was sent to.
 
         Args:
           list_age_s: Age of the endpoint list in use, in seconds; infinite before the first.
--- a/packages/springbridge-node/springbridge_node/gateway/requests/usage_meter.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/usage_meter.py
@@ -1,4 +1,4 @@
-"""Port of what counts requests for the platform's usage reports."""
+"""Port: counts requests for the platform's usage reports."""
 
 from typing import Protocol
 
@@ -6,20 +6,20 @@
 
 
 class UsageMeter(Protocol):
-    """Counts requests; the calls return at once."""
+    """Counts requests and runs; the calls do not block."""
 
     def sent(self, admitted: Admitted) -> None:
-        """Count the work of a request that is to be sent to endpoints."""
+        """Count the work of an admitted request, before it is sent to any endpoint."""
 
     def began(self, admitted: Admitted) -> None:
-        """Count a run of a request that an endpoint began."""
+        """Count a run of a request that an endpoint has started."""
 
 
 class NoUsage:
-    """Counts nothing, where no usage is reported."""
+    """Counts nothing; used by instances that report no usage."""
 
     def sent(self, admitted: Admitted) -> None:
-        """Pass over a request."""
+        """Ignore a request."""
 
     def began(self, admitted: Admitted) -> None:
-        """Pass over a run."""
+        """Ignore a run."""
