--- a/packages/springbridge-node/springbridge_node/gateway/requests/rest_refusals.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rest_refusals.py
@@ -1,4 +1,7 @@
-"""Refuses requests whose endpoints all rest, and sends their callers back one after another."""
+"""Refuses requests whose endpoints all rest, with retry times that are spread out.
+
+Callers that all came back at the end of the rest would be refused together again.
+"""
 
 from springbridge.routing.endpoint_registry import EndpointRegistry
 from springbridge.routing.giving_up import AllRest
@@ -8,16 +11,16 @@
 
 
 class RestRefusals:
-    """Counts the callers that were refused for rests, by service."""
+    """Counts the requests of each service that were refused because its endpoints rest."""
 
     def __init__(self, registry: EndpointRegistry, telemetry: Telemetry) -> None:
-        """Start without any."""
+        """Start without refusals."""
         self._registry = registry
         self._telemetry = telemetry
         self._refused: dict[str, int] = {}
 
     def refuse(self, service: str) -> AllRest | None:
-        """Count a refusal and return why, None if no endpoint of the service rests."""
+        """Count a refusal and return its details; None if no endpoint of the service rests."""
         resting = self._registry.resting(service)
         if not resting:
             return None
--- a/packages/springbridge-node/springbridge_node/gateway/requests/selection_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/selection_parts.py
@@ -1,7 +1,7 @@
-"""Joins what selects endpoints at this instance to the load that the instances share.
+"""Wires the endpoint selection of this instance to the load that the instances share.
 
-Owns the selector, the shared load, and both sides of remote selection: the client that asks
-coordinators, and the server that answers while this instance is one.
+Owns the selector, the shared load, and both sides of remote selection: the client that sends
+selections to coordinators, and the server that answers them while this instance is one.
 """
 
 from springbridge.membership import Membership
@@ -28,7 +28,7 @@
     def __init__(
         self, registry: EndpointRegistry, membership: Membership, rates: RateTable
     ) -> None:
-        """Join the parts."""
+        """Create and connect the parts."""
         coordinators = CoordinatorSet(membership)
         self._server = SelectionServer(registry, by_token_cost, has_rate=rates.is_limited)
         self._client = SelectionClient(registry, coordinators)
@@ -41,7 +41,7 @@
         self.selector = EndpointSelector(registry, self.loads, coordinators, self._client)
 
     def connect(self, datagrams: PeerDatagrams) -> None:
-        """Begin to exchange load, questions and answers with peers."""
+        """Begin to exchange load and remote selections with peers."""
         self.loads.connect(datagrams)
         self._server.connect(datagrams)
         self._client.connect(datagrams)
