--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints: this node's connections to them, and the probes of those it cannot reach."""
+"""Endpoints: the connections of this instance to them, and probes of unreachable ones."""
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation.py
@@ -1,8 +1,9 @@
-"""Finds out whether an endpoint whose connection broke has ended.
+"""Determines whether an endpoint whose connection broke has crashed.
 
-An endpoint that resets a connection, cuts an answer short or is cut off goes on; one that has ended
-refuses connections at once, since its address answers and nobody listens there. So one connection
-to it tells the two apart, and also spares other requests the attempt.
+An endpoint that resets a connection, truncates an answer or is cut off by the network is still
+running. One that has crashed refuses connections at once, since its host is up and no process
+listens on the port. So one connection attempt tells the two apart, and its result is shared by all
+requests that broke with the endpoint.
 """
 
 import asyncio
@@ -14,17 +15,17 @@
 from springbridge_node.gateway.endpoints.pool import ConnectionPool
 from springbridge_node.gateway.http.http_connection import ConnectFailedError
 
-# Seconds that a request whose attempt broke waits for the result: a refusal comes within a round
-# trip, and a longer silence shows nothing. Some round trips.
+# Seconds that a request whose attempt broke waits for the result, some round trips: a refusal comes
+# within one, and a longer silence shows nothing.
 REFUSAL_S = 0.05
-# Seconds for which the result holds for the other requests that broke with the endpoint. It bounds
-# what an endpoint costs that resets many connections: one more a second from each node. Below the
-# time in which another endpoint may have the address.
+# Seconds for which the result holds for the other requests that broke with the endpoint. Limits the
+# extra connections to an endpoint that resets many: one a second from each instance. Less than the
+# time after which another endpoint may have the address.
 RESULT_KEPT_S = 1.0
 
 
 class CrashConfirmation:
-    """Confirms the ends of endpoints, with one connection for each."""
+    """Confirms crashes of endpoints, with one connection attempt for each."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         """Start without results."""
@@ -32,11 +33,11 @@
         self._results: dict[EndpointIncarnation, asyncio.Task[bool]] = {}
 
     async def has_crashed(self, state: EndpointState, late: Callable[[], None]) -> bool:
-        """Return whether an endpoint has ended that was not about to leave.
+        """Return whether an endpoint has crashed; one that is leaving or not listed never counts.
 
         Args:
-          late: Called if that is found only after REFUSAL_S, as on a node that is short of
-            processor time.
+          late: Called if a crash is confirmed only after REFUSAL_S, as on an instance that is short
+            of processor time.
         """
         if state.is_leaving or not state.is_listed:
             return False
@@ -46,7 +47,7 @@
             task = asyncio.ensure_future(self._refuses(state))
             self._results[incarnation] = task
             task.add_done_callback(lambda _: self._forget_later(incarnation))
-        # Not cancelled with one of the requests that wait for it.
+        # asyncio.wait does not cancel the task when one of the requests that wait for it is.
         done, _ = await asyncio.wait({task}, timeout=REFUSAL_S)
         if done:
             return task.result()
@@ -54,13 +55,13 @@
         return False
 
     async def _refuses(self, state: EndpointState) -> bool:
-        """Return whether an endpoint refuses a connection; one that comes up is kept for use."""
+        """Return whether an endpoint refuses a connection; if not, the pool keeps it for use."""
         try:
             await self._pool.warm(state.entry)
         except ConnectFailedError as exc:
             return exc.refused
         except OSError:
-            # No descriptor is left for a connection, so nothing is known; the attempt is logged.
+            # No file descriptor is left, so nothing is known. The failed attempt is logged anyway.
             return False
         return False
 
@@ -71,5 +72,5 @@
 
 
 def _has_ended(found: asyncio.Task[bool]) -> bool:
-    """Return the result of a connection attempt that is over; one that was cancelled shows none."""
+    """Return the result of a finished connection attempt; a cancelled one confirms no crash."""
     return not found.cancelled() and found.result()
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation_test.py
@@ -1,4 +1,4 @@
-"""Tests of crash_confirmation.py: what counts as the end of an endpoint, and what does not."""
+"""Tests of crash_confirmation.py: what counts as a crash of an endpoint, and what does not."""
 
 import asyncio
 from dataclasses import replace
@@ -16,13 +16,13 @@
 
 
 def no_news():
-    """Take no news, as none is to come."""
+    """Fail if a late crash is reported."""
     raise AssertionError
 
 
 @pytest.fixture
 def run():
-    """Return a function that runs a test's body with an endpoint, its state and the part."""
+    """Return a function that runs a test body with an endpoint, its state and a confirmation."""
 
     def play(body):
         async def with_parts():
@@ -76,7 +76,7 @@
 
 def test_one_that_cannot_be_reached_may_live(run, monkeypatch):
     async def body(engine, state, confirmation):
-        # A connection that neither comes up nor is refused, as behind a cut.
+        # The connection is neither accepted nor refused, as behind a network partition.
         async def hangs(entry):
             await asyncio.sleep(10)
 
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
@@ -1,8 +1,8 @@
 """Pool of connections to endpoints: reuses idle ones, and bounds how many are open.
 
 A new connection costs the endpoint time, so an idle one is reused while the endpoint has probably
-not closed it. An endpoint takes a limited number of connections from all nodes together and resets
-the others, so each node keeps to its share of them.
+not closed it. An endpoint accepts a limited number of connections from all instances together and
+resets the others, so each instance keeps to its share of them.
 """
 
 from collections.abc import Callable, Set
@@ -13,57 +13,57 @@
 from springbridge_node import clock
 from springbridge_node.gateway.http.http_connection import HttpConnection, connect
 
-# Seconds for a connection to come up. Short beside a request's deadline, so that another endpoint
-# can still be tried.
+# Seconds for establishing a connection. Short compared with a request's deadline, so that another
+# endpoint can still be tried.
 CONNECT_TIMEOUT_S = 0.4
-# Share of an endpoint's connections that all nodes together use. A fifth is left, because nodes
-# may differ for a moment on how many they are.
+# Share of an endpoint's connections that all instances together use. A fifth is left free, because
+# instances may briefly disagree on how many they are.
 USED_SHARE = 0.8
-# Connections to an endpoint that a node may have whatever its share. With fewer, a
-# slow answer would block the only connection of a node in a large fleet.
+# Connections to an endpoint that an instance may have whatever its share. With fewer, a slow answer
+# would block the only connection of an instance in a large fleet.
 MIN_CONNECTIONS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class IdleLimit:
-    """How long a connection may have been idle when it carries the next request.
+    """How long a connection may have been idle when it is reused.
 
     Attributes:
-      max_s: Seconds where the endpoint did not say how long it keeps an idle connection.
-      keep_alive_share: Share of the time that it did say.
+      max_s: Limit in seconds if the endpoint sent no keep-alive time.
+      keep_alive_share: Limit as a share of the keep-alive time, if the endpoint sent one.
     """
 
     max_s: float
     keep_alive_share: float
 
 
-# A repeatable request that is lost on a connection which the endpoint just closed is sent again, so
+# A repeatable request that is lost on a connection which the endpoint just closed is retried, so
 # most of the endpoint's keep-alive time is used.
 REPEATABLE_IDLE = IdleLimit(max_s=4.0, keep_alive_share=0.7)
-# A request that may not be repeated is lost for good there, so it needs a connection that was in
+# A request that may not be repeated cannot be retried then, so it needs a connection that was in
 # use a moment ago. Well below the limit for repeatable ones.
 UNREPEATABLE_IDLE = IdleLimit(max_s=1.0, keep_alive_share=0.4)
-# Seconds after which an idle connection is closed. Derived: no request would take it any more,
-# unless its endpoint named a longer time.
+# Seconds after which an idle connection is closed. Derived: no request would use it any more,
+# unless its endpoint sent a longer keep-alive time.
 CLOSE_IDLE_S = 2 * REPEATABLE_IDLE.max_s
 
 
 class EndpointBusyError(Exception):
-    """This node has all the connections to an endpoint that it may have."""
+    """This instance already has as many connections to an endpoint as it may have."""
 
 
 class ConnectionPool:
-    """All connections of this node to endpoints.
+    """All connections of this instance to endpoints.
 
-    A connection belongs to one incarnation of an endpoint, so that neither an address which is used
-    again nor an endpoint that has started again gets a connection to the process before.
+    Connections are kept by incarnation of an endpoint, so that a connection to an earlier process
+    is not reused after the endpoint has restarted or its address has gone to another endpoint.
     """
 
     def __init__(self, nodes: Callable[[], int]) -> None:
         """Start without connections.
 
         Args:
-          nodes: Returns how many nodes share an endpoint's connections.
+          nodes: Returns how many instances share an endpoint's connections.
         """
         self._nodes = nodes
         self._idle: dict[EndpointIncarnation, list[HttpConnection]] = {}
@@ -75,11 +75,11 @@
         """Return a connection that no other request uses.
 
         Args:
-          repeatable: Whether a request that was lost may be sent again; see the idle limits.
+          repeatable: Whether a lost request may be retried; decides which idle limit applies.
 
         Raises:
           ConnectFailedError: The endpoint cannot be reached.
-          EndpointBusyError: This node has its share of the endpoint's connections.
+          EndpointBusyError: This instance already has its share of the endpoint's connections.
         """
         limit = REPEATABLE_IDLE if repeatable else UNREPEATABLE_IDLE
         incarnation = entry.incarnation
@@ -112,19 +112,19 @@
             raise
 
     def release(self, incarnation: EndpointIncarnation, conn: HttpConnection) -> None:
-        """Take a connection back after its answer was read whole, or close it if it is unfit."""
+        """Return a connection to the pool after its whole answer was read, or close it if unfit."""
         if not conn.may_be_kept:
             self.discard(incarnation, conn)
             return
         self._idle.setdefault(incarnation, []).append(conn)
 
     def discard(self, incarnation: EndpointIncarnation, conn: HttpConnection) -> None:
-        """Close a connection."""
+        """Close a connection and free its place among the open ones."""
         conn.abort()
         self._count_closed(incarnation)
 
     def keep_only(self, incarnations: Set[EndpointIncarnation]) -> None:
-        """Close the idle connections of all other endpoints, and those idle for too long."""
+        """Close idle connections to any other incarnation, and those idle beyond CLOSE_IDLE_S."""
         now_s = clock.now_s()
         for incarnation in list(self._idle):
             kept = []
@@ -138,7 +138,7 @@
                 del self._idle[incarnation]
 
     def _count_closed(self, incarnation: EndpointIncarnation) -> None:
-        """Count a connection as closed; an endpoint without connections is forgotten."""
+        """Count a connection as closed, and drop the count of an endpoint that has none left."""
         left = self._open.get(incarnation, 0) - 1
         if left > 0:
             self._open[incarnation] = left
@@ -147,13 +147,13 @@
 
 
 def connection_cap(service: Service, nodes: int) -> int:
-    """Return how many connections one node may have to an endpoint.
+    """Return how many connections one instance may have to an endpoint.
 
-    All nodes together may use USED_SHARE of what an endpoint takes, in equal parts, because it
-    resets connections beyond that and the requests on them are lost. A node always has
-    MIN_CONNECTIONS.
+    All instances together may use USED_SHARE of what an endpoint accepts, in equal parts, because
+    it resets connections beyond its limit and the requests on them are lost. An instance may always
+    have MIN_CONNECTIONS.
 
     Args:
-      nodes: Live nodes, this one included.
+      nodes: Number of live instances, this one included.
     """
     return max(MIN_CONNECTIONS, int(service.max_connections * USED_SHARE / max(1, nodes)))
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/pool_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/pool_test.py
@@ -1,4 +1,4 @@
-"""Tests of pool.py: how many connections a node may have, and which idle one it uses."""
+"""Tests of pool.py: how many connections an instance may have, and which idle one it reuses."""
 
 import pytest
 from springbridge.routing.records import Service
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
@@ -1,4 +1,4 @@
-"""Tries unreachable endpoints again, so that no request has to wait for the attempt."""
+"""Probes unreachable endpoints in the background, so that no request has to wait for it."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 from springbridge_node.gateway.endpoints.pool import ConnectionPool
 from springbridge_node.gateway.http.http_connection import ConnectFailedError
 
-# Seconds between two rounds. Short beside the seconds that an endpoint takes to come back, at one
-# connection attempt each.
+# Seconds between two rounds of probes, each one connection attempt for an endpoint. Short compared
+# with the seconds that an endpoint takes to come back.
 PROBE_INTERVAL_S = 0.25
 
 
 class EndpointProber:
-    """Connects to unreachable endpoints until they answer; the connection is kept for a request."""
+    """Connects to unreachable endpoints until one attempt succeeds, and keeps that connection."""
 
     def __init__(self, registry: EndpointRegistry, pool: ConnectionPool) -> None:
         """Keep the registry and the pool."""
@@ -23,17 +23,17 @@
         self._pool = pool
 
     async def step(self) -> None:
-        """Try every unreachable endpoint once."""
+        """Probe every unreachable endpoint once."""
         await asyncio.gather(
             *(self._try(state) for state in self._registry.unreachable_endpoints())
         )
 
     async def _try(self, state: EndpointState) -> None:
-        """Try one endpoint."""
+        """Probe one endpoint, and mark it as reached if the connection is established."""
         try:
             await self._pool.warm(state.entry)
         except ConnectFailedError:
-            # No line: its first failure was logged, and the next round tries it again.
+            # Not logged: its first failure was, and the next round probes it again.
             return
         self._registry.reached(state)
         logs.event("engine.reached", engine=state.entry.endpoint_id)
