--- a/packages/springbridge-node/springbridge_node/gateway/http/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on tornado's streams: towards endpoints, peers and the store, and small interfaces."""
+"""HTTP/1.1: clients for endpoints, peers and the store, and servers of the small interfaces."""
--- a/packages/springbridge-node/springbridge_node/gateway/http/calls.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/calls.py
@@ -1,6 +1,6 @@
-"""Calls with short answers to one address, such as the platform's store or a peer.
+"""HTTP client for calls with short answers to one address, such as the store or a peer.
 
-Owns the idle connections to that address. Relies on HttpConnection for the exchange itself.
+Owns the idle connections to that address, and uses HttpConnection for the exchange itself.
 """
 
 import asyncio
@@ -16,24 +16,24 @@
 )
 from springbridge_node.gateway.http.http_head import AnswerBrokenError
 
-# Seconds for a connection to come up. Below the time limits of the calls that use it (0.8 s to a
+# Seconds for establishing a connection. Below the time limits of the calls that use it (0.8 s to a
 # peer, 1.2 s to the store), so that some time is left for the answer.
 CONNECT_TIMEOUT_S = 0.6
-# Seconds for which an idle connection is used again if the other side does not say how long it
-# keeps it. A call on a connection that was closed meanwhile fails.
+# Seconds for which an idle connection is reused if the other side sends no keep-alive time. A call
+# on a connection that was closed meanwhile fails.
 LONGEST_IDLE_S = 5.0
-# The other side may say how long it keeps an idle connection; it is used for this share of that
-# time. The rest lets the next request arrive before the other side closes.
+# Share of the keep-alive time sent by the other side for which an idle connection is reused. The
+# rest lets the next request arrive before the other side closes the connection.
 SHARE_OF_KEEP = 0.7
 
 
 class CallFailedError(Exception):
-    """There was no whole answer in time. Nobody can say whether the call took effect."""
+    """No complete answer arrived in time. It is unknown whether the call took effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer."""
+    """A complete answer, read into memory."""
 
     status: int
     body: bytes
@@ -41,7 +41,7 @@
 
 
 class HttpClient:
-    """Makes calls to one address, each on a connection of its own while it runs."""
+    """Makes calls to one address; concurrent calls use separate connections."""
 
     def __init__(self, address: str) -> None:
         """Start without connections.
@@ -66,10 +66,10 @@
         Args:
           target: Path and query.
           timeout_s: Time for the whole call, in seconds.
-          headers: Headers beside those of the framing.
+          headers: Headers in addition to Host, Content-Type and Content-Length.
 
         Raises:
-          CallFailedError: There was no whole answer in time.
+          CallFailedError: No complete answer arrived in time.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -85,7 +85,7 @@
     async def _call(
         self, method: str, target: str, body: bytes, headers: Mapping[str, str]
     ) -> Answer:
-        """Make a call without a time limit, and keep the connection if it may be used again."""
+        """Make a call without a time limit, and keep the connection if it may be reused."""
         connection = await self._connection()
         try:
             connection.send(self._head(method, target, body, headers), body)
@@ -101,7 +101,7 @@
         return Answer(head.status, answer, head.headers)
 
     async def _connection(self) -> HttpConnection:
-        """Return an idle connection that may be used again, or a new one."""
+        """Return an idle connection that may be reused, or a new one."""
         while self._idle:
             connection = self._idle.pop()
             if connection.can_carry(LONGEST_IDLE_S, SHARE_OF_KEEP):
@@ -110,7 +110,7 @@
         return await connect(self._address, CONNECT_TIMEOUT_S)
 
     def _head(self, method: str, target: str, body: bytes, headers: Mapping[str, str]) -> bytes:
-        """Return the head of a call."""
+        """Return the head of a request: request line, headers and the empty line."""
         lines = [f"{method} {target} HTTP/1.1", f"Host: {self._address}"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
         if body:
--- a/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
@@ -1,9 +1,9 @@
-"""One outgoing HTTP/1.1 connection that can be kept, checked while idle, and aborted at once.
+"""An outgoing HTTP/1.1 connection that is reusable, checked while idle, and can be aborted.
 
 tornado's own HTTP client opens a connection for each request and cannot abort one in flight, so
-this is built on its IOStream. It adds three things: the caller sees the head first, and can match
-the answer to its request before it reads the body; bytes behind a whole answer are noticed; and an
-answer without a length counts as whole only if the connection ended without a reset.
+this is built on its IOStream. It adds three things: the head is returned first, so that the answer
+can be matched to its request before the body is read; unexpected bytes after an answer are
+detected; and an answer without a length is complete only if the connection ended without a reset.
 """
 
 import asyncio
@@ -21,31 +21,31 @@
     parse_head,
 )
 
-# Most bytes taken from the socket in one read.
+# Maximum bytes taken from the socket in one read.
 READ_BYTES = 1 << 18
-# Largest head of an answer, in bytes. It bounds the memory that a faulty endpoint can take. Four
-# times what callers may send as headers by default.
+# Maximum size of the head of an answer. Bounds the memory that a faulty endpoint can take. Four
+# times the default limit for callers' headers.
 LARGEST_HEAD_BYTES = 64 << 10
-# Longest line with the length of a chunk, extensions included, in bytes.
+# Maximum length of the line that holds the length of a chunk, extensions included.
 LARGEST_CHUNK_LINE_BYTES = 256
-# Idle seconds before the kernel probes the other side. It has to notice a host that lost power,
+# Idle seconds before the kernel sends TCP keep-alive probes. They detect a host that lost power,
 # which sends no reset, while a request waits for its answer.
 KEEPALIVE_IDLE_S = 1
 # Seconds between two probes.
 KEEPALIVE_INTERVAL_S = 1
-# Unanswered probes after which the connection is broken. Derived: a silent host is noticed after
-# about 3 s, where the kernel's default takes two hours.
+# Unanswered probes after which the connection is broken. Derived: a dead host is detected after
+# about 3 s, while the kernel's default takes two hours.
 KEEPALIVE_PROBES = 2
 # Milliseconds after which sent but unacknowledged bytes break the connection. A little below the 3
-# s of the probes, which the kernel does not send while bytes are outstanding.
+# s of the probes, which the kernel does not send while bytes are unacknowledged.
 UNACKNOWLEDGED_MS = 2500
 
 
 class ConnectFailedError(Exception):
-    """The connection did not come up, so nothing was sent.
+    """The connection was not established, so nothing was sent.
 
     Attributes:
-      refused: Whether the host answered that nobody listens there: the process has ended.
+      refused: Whether the host refused it because no process listens there: the process has ended.
     """
 
     def __init__(self, detail: str, refused: bool = False):
@@ -60,7 +60,7 @@
       address: IP number and port.
 
     Raises:
-      ConnectFailedError: It was refused, or did not come up in time.
+      ConnectFailedError: It was refused, or not established in time.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -82,7 +82,7 @@
 
 
 def _notice_dead_peers(sock: socket.socket) -> None:
-    """Let the kernel break the connection if the other host falls silent."""
+    """Set the socket options that break the connection if the other host stops responding."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -96,7 +96,7 @@
 
     Attributes:
       idle_since_s: When it was opened or its last answer ended, on the monotonic clock.
-      keep_s: How long the other side keeps it open while idle, or None if it did not say.
+      keep_s: Keep-alive time that the other side sent, in seconds, or None if it sent none.
     """
 
     def __init__(self, stream: IOStream) -> None:
@@ -109,7 +109,7 @@
         self.keep_s: float | None = None
 
     def abort(self) -> None:
-        """Close at once, which tells the other side to stop work on the request."""
+        """Close at once, which makes the other side stop work on the request."""
         self._may_be_kept = False
         self._stream.close()
 
@@ -125,7 +125,7 @@
         """Read the head of the next final answer; interim (1xx) answers are skipped.
 
         Raises:
-          AnswerBrokenError: The connection ended, or what came is not an answer.
+          AnswerBrokenError: The connection ended, or what arrived is not an HTTP answer.
         """
         while True:
             raw = await self._read_until(b"\r\n\r\n", LARGEST_HEAD_BYTES)
@@ -154,8 +154,8 @@
         """Return whether an idle connection may carry another request.
 
         Args:
-          longest_idle_s: Longest idle time if the other side did not say how long it keeps it.
-          share_of_keep: Largest part of the keep-alive time named by the other side.
+          longest_idle_s: Maximum idle time in seconds if the other side sent no keep-alive time.
+          share_of_keep: Maximum idle time as a share of the keep-alive time that it sent.
         """
         if not self._may_be_kept or self._unread or self._stream.closed():
             return False
@@ -174,7 +174,7 @@
         try:
             self._stream.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
-            # There is nothing to read, which is what an idle connection should say.
+            # There is nothing to read, as expected of an idle connection.
             return True
         except OSError:
             # The connection is broken; the caller closes it and opens another.
@@ -182,7 +182,7 @@
         return False
 
     def _end_answer(self, head: Head) -> None:
-        """Note the end of a whole answer and whether the connection may be used again."""
+        """Record the end of a complete answer and whether the connection may be reused."""
         self.idle_since_s = clock.now_s()
         self.keep_s = keep_alive_s(head.headers)
         whole_request_sent = self._sent is None or self._sent.done()
@@ -190,7 +190,11 @@
         self._may_be_kept = whole_request_sent and not closes and not head.unframed
 
     async def _fill(self) -> None:
-        """Wait for more bytes and add them to those that are unread."""
+        """Wait for more bytes and append them to the unread ones.
+
+        Raises:
+          AnswerBrokenError: The connection ended.
+        """
         try:
             self._unread += await self._stream.read_bytes(READ_BYTES, partial=True)
         except StreamClosedError as exc:
@@ -201,7 +205,7 @@
         """Return the bytes up to a delimiter, without it.
 
         Args:
-          limit: Most bytes to read in search of it.
+          limit: Number of unread bytes without the delimiter beyond which reading fails.
         """
         while True:
             end = self._unread.find(delimiter)
@@ -210,11 +214,11 @@
                 del self._unread[: end + len(delimiter)]
                 return raw
             if len(self._unread) > limit:
-                raise AnswerBrokenError("no end of line")
+                raise AnswerBrokenError(f"delimiter not found in {limit} bytes")
             await self._fill()
 
     async def _read_length(self, length: int) -> AsyncIterator[bytes]:
-        """Yield pieces that are together as long as the body."""
+        """Yield pieces until they add up to a length in bytes."""
         while length:
             if not self._unread:
                 await self._fill()
@@ -234,15 +238,15 @@
             async for piece in self._read_length(length):
                 yield piece
             if await self._read_until(b"\r\n", LARGEST_CHUNK_LINE_BYTES):
-                raise AnswerBrokenError("chunk longer than it says")
+                raise AnswerBrokenError("chunk longer than its stated length")
 
     async def _read_trailers(self) -> None:
-        """Skip the headers behind the last chunk."""
+        """Skip the trailers after the last chunk."""
         while await self._read_until(b"\r\n", LARGEST_HEAD_BYTES):
             pass
 
     async def _read_to_end(self) -> AsyncIterator[bytes]:
-        """Yield bytes until the other side closes; a reset breaks the answer."""
+        """Yield bytes until the other side closes the connection; a reset breaks the answer."""
         while True:
             if self._unread:
                 piece = bytes(self._unread)
@@ -258,7 +262,7 @@
 
 
 def _retrieve(sent: asyncio.Future) -> None:
-    """Fetch the exception of a write, so that asyncio does not report it as never retrieved.
+    """Retrieve the exception of a write, so that asyncio does not report it as unretrieved.
 
     Nothing is lost: a connection whose write failed also fails when its answer is read.
     """
--- a/packages/springbridge-node/springbridge_node/gateway/http/http_head.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/http_head.py
@@ -1,4 +1,4 @@
-"""Parses heads of HTTP/1.1 answers: status, headers and how the body is framed."""
+"""Parses the heads of HTTP/1.1 answers: status, headers and the framing of the body."""
 
 from dataclasses import dataclass
 
@@ -41,7 +41,7 @@
     """Parse the head of an answer.
 
     Args:
-      raw: Status line and headers, without the empty line behind them.
+      raw: Status line and headers, without the empty line after them.
 
     Raises:
       AnswerBrokenError: It cannot be parsed.
@@ -52,16 +52,16 @@
         headers = HTTPHeaders.parse(fields)
         length = _content_length(line.code, headers)
     except (HTTPInputError, ValueError) as exc:
-        raise AnswerBrokenError("no HTTP answer") from exc
+        raise AnswerBrokenError("not an HTTP answer") from exc
     chunked = headers.get("Transfer-Encoding", "").lower() == "chunked"
     return Head(line.code, line.reason, headers, None if chunked else length, chunked)
 
 
 def _content_length(status: int, headers: HTTPHeaders) -> int | None:
-    """Return the length of a body in bytes, or None if the head does not say.
+    """Return the length of a body in bytes, or None if the head does not state it.
 
     Raises:
-      ValueError: The header is not a length.
+      ValueError: The header is not a valid length.
     """
     if status in BODILESS_STATUSES:
         return 0
@@ -77,22 +77,22 @@
     """Return the length of a chunk in bytes.
 
     Args:
-      line: The line before the chunk, perhaps with extensions, which are ignored.
+      line: The line before the chunk; extensions in it are ignored.
 
     Raises:
-      AnswerBrokenError: It holds no length.
+      AnswerBrokenError: It does not hold a valid length.
     """
     try:
         length = int(line.partition(b";")[0], 16)
     except ValueError as exc:
-        raise AnswerBrokenError("no chunk length") from exc
+        raise AnswerBrokenError("invalid chunk length") from exc
     if length < 0:
-        raise AnswerBrokenError("no chunk length")
+        raise AnswerBrokenError("invalid chunk length")
     return length
 
 
 def keep_alive_s(headers: HTTPHeaders) -> float | None:
-    """Return how long the other side keeps the idle connection, or None if it does not say."""
+    """Return the keep-alive time that the other side sent, in seconds, or None."""
     for item in headers.get("Keep-Alive", "").split(","):
         name, _, value = item.strip().partition("=")
         if name.lower() == "timeout" and value.isdecimal():
--- a/packages/springbridge-node/springbridge_node/gateway/http/small_server.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/small_server.py
@@ -1,7 +1,7 @@
-"""Small HTTP interfaces of a node: readiness, directory, peers and metrics.
+"""Server for an instance's small HTTP interfaces: readiness, directory, peers and metrics.
 
-Each is a table of paths whose handlers answer from memory at once, so that none of them blocks the
-event loop.
+Each interface maps paths to handlers, which answer from memory at once, so that none of them blocks
+the event loop.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,14 +11,14 @@
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPHeaders, HTTPServerRequest, ResponseStartLine, responses
 
-# Content types. TEXT is what Prometheus expects of its text format.
+# Content types. TEXT is the one that Prometheus expects for its text format.
 JSON = "application/json"
 TEXT = "text/plain; version=0.0.4"
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer of a small interface, whole in memory."""
+    """A complete answer of a small interface."""
 
     status: int
     body: bytes = b""
@@ -29,16 +29,16 @@
 
 
 def serve_small(address: str, handlers: Mapping[str, Handler]) -> None:
-    """Serve a small interface, or nothing where the settings give it no address."""
+    """Serve a small interface, unless its address is empty in the settings."""
     if address:
         SmallServer(handlers).listen(address)
 
 
 class SmallServer:
-    """Answers requests by path; a handler gets the query."""
+    """Answers requests by path; a handler gets the query's parameters."""
 
     def __init__(self, handlers: Mapping[str, Handler]) -> None:
-        """Start with the handler of each path."""
+        """Store the handler of each path; listen() starts to serve."""
         self._handlers = handlers
         self._server = HTTPServer(self._serve)
 
@@ -48,7 +48,7 @@
         self._server.listen(int(port), host)
 
     def _serve(self, request: HTTPServerRequest) -> None:
-        """Answer one request."""
+        """Answer one request, with 404 if its path has no handler."""
         url = urlsplit(request.uri)
         handler = self._handlers.get(url.path)
         reply = handler(dict(parse_qsl(url.query))) if handler else Reply(404)
