--- a/packages/springbridge-node/springbridge_node/gateway/callers/__init__.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: how their requests arrive, what answer they get, and which nodes they should use."""
+"""Callers: accepts their requests, writes their answers, tells them which instances to use."""
--- a/packages/springbridge-node/springbridge_node/gateway/callers/answer.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/answer.py
@@ -1,4 +1,4 @@
-"""The answer to one request, written piece by piece to the caller.
+"""Writes the answer to one request to the caller, piece by piece.
 
 Owns the caller's connection from the request to the end of its answer. Every answer ends in one of
 three ways: finish(), refuse() or break_off().
@@ -20,7 +20,7 @@
 
     Attributes:
       started: Whether its head was sent, after which its status can't change.
-      ended: Whether it was finished or broken off.
+      ended: Whether it was finished or aborted.
     """
 
     def __init__(self, connection: HTTP1Connection) -> None:
@@ -37,23 +37,23 @@
         """Send the head and the first piece of the body.
 
         Raises:
-          CallerGoneError: The caller is gone.
+          CallerGoneError: The caller has closed its connection.
         """
         self.started = True
         line = ResponseStartLine("HTTP/1.1", status, reason or responses.get(status, "Unknown"))
         await _sent(self._connection.write_headers(line, headers, piece or None))
 
     async def write(self, piece: bytes) -> None:
-        """Send a piece of the body and wait until the caller takes it.
+        """Send a piece of the body and wait until it is written to the socket.
 
         Raises:
-          CallerGoneError: The caller is gone.
+          CallerGoneError: The caller has closed its connection.
         """
         if piece:
             await _sent(self._connection.write(piece))
 
     def finish(self) -> None:
-        """End the answer, which is complete."""
+        """End a complete answer."""
         self.ended = True
         self._connection.finish()
 
@@ -63,10 +63,10 @@
         self._connection.close()
 
     async def refuse(self, problem: Problem) -> None:
-        """Send the gateway's own answer for a problem, with Retry-After if the problem has one.
+        """Send the error response for a problem, with Retry-After if the problem has one.
 
         Raises:
-          CallerGoneError: The caller is gone.
+          CallerGoneError: The caller has closed its connection.
         """
         body = orjson.dumps({"error": problem.code.name, "code": int(problem.code)})
         headers = HTTPHeaders(
@@ -79,7 +79,7 @@
 
 
 async def _sent(write) -> None:
-    """Wait for a write, and report a closed connection as a caller that is gone."""
+    """Wait for a write; raise CallerGoneError if the connection is closed."""
     try:
         await write
     except StreamClosedError as exc:
--- a/packages/springbridge-node/springbridge_node/gateway/callers/directory.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/directory.py
@@ -1,22 +1,22 @@
-"""Which nodes a caller should use.
+"""Selects the instances that a caller should use.
 
 Decided: the addresses in an answer of the directory.
-Inputs: the live nodes, the caller's failure domain, the host that it wants to reach.
+Inputs: the live instances, the caller's failure domain, the host that it wants to reach.
 Outcome: at most MOST_ADDRESSES, those of the caller's own failure domain first. In a larger fleet
-every node names the same ones for a host, and other ones for another host.
+every instance returns the same addresses for a host, and others for another host.
 Why: callers close connections to addresses that a new answer lacks, so answers must not depend on
-the node that gives them; a choice by host spreads the load of all hosts over all nodes.
+the instance that gives them; a choice by host spreads the load of all hosts over all instances.
 """
 
 from springbridge.hashing import score
 from springbridge.membership import Membership
 
-# Most addresses in an answer.
+# Maximum number of addresses in an answer.
 MOST_ADDRESSES = 64
 
 
 class AddressBook:
-    """Answers callers from the membership.
+    """Selects addresses for callers from the membership.
 
     Attributes:
       ttl_s: How long callers may keep an answer, in seconds.
@@ -28,10 +28,10 @@
         self.ttl_s = ttl_s
 
     def addresses_for(self, failure_domain: str, host: str) -> list[str]:
-        """Return the addresses of nodes that run and are not leaving, the best ones first.
+        """Return addresses of instances that run and are not leaving, the preferred ones first.
 
         Args:
-          failure_domain: Failure domain of the caller, empty if it did not say.
+          failure_domain: Failure domain of the caller, empty if it sent none.
           host: Host that the caller wants to reach.
         """
         key = f"{host} from {failure_domain}"
--- a/packages/springbridge-node/springbridge_node/gateway/callers/directory_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/directory_test.py
@@ -1,4 +1,4 @@
-"""Tests of directory.py: callers get live nodes, and in a large fleet all nodes get callers."""
+"""Tests of directory.py: callers get live instances; in a large fleet all instances get callers."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 def book_of(count, me=0):
-    """Return the address book of one node of a fleet, a third of it in each failure domain."""
+    """Return the address book of one instance; each failure domain has a third of the fleet."""
     members = [
         Member(
             f"i{number}", f"n{number:03}", "", f"10.0.{number}.1:80", FAILURE_DOMAINS[number % 3]
--- a/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
@@ -1,7 +1,7 @@
-"""The listener for callers: reads each request whole and serves it in a task of its own.
+"""The listener for callers: reads each request completely and serves it in its own task.
 
 Owns the callers' connections and the tasks. A task is cancelled when its caller closes the
-connection, so that no endpoint goes on working for a caller that has left.
+connection, so that no endpoint goes on working for a caller that has disconnected.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 from springbridge_node.gateway.callers.answer import CallerAnswer, CallerGoneError
 
 # Connections that may wait to be accepted. Above tornado's 128, so that callers that all connect at
-# once, as after the loss of a node, are not turned away by the kernel.
+# once, as after the loss of an instance, are not refused by the kernel.
 LISTEN_BACKLOG = 512
 
 
@@ -88,18 +88,18 @@
             self._server.conn_params.no_keep_alive = True
 
     def stop_accepting(self) -> None:
-        """Accept no further connections; open ones stay."""
+        """Accept no further connections; open ones stay open."""
         if self._server is not None:
             self._server.stop()
 
     def start_request(
         self, server_conn: object, request_conn: HTTP1Connection
     ) -> HTTPMessageDelegate:
-        """Return the reader of the next request on a connection, as tornado asks for it."""
+        """Return the reader of the next request on a connection; called by tornado."""
         return _RequestReader(self, request_conn)
 
     def begin(self, request: IncomingRequest, connection: HTTP1Connection) -> None:
-        """Serve a request, which was read whole, in a task of its own."""
+        """Serve a request that was read completely, in its own task."""
         answer = CallerAnswer(connection)
         task = asyncio.ensure_future(self._serve_guarded(request, answer))
         self.in_progress.add(task)
@@ -107,11 +107,11 @@
         connection.set_close_callback(lambda: _caller_left(answer, task))
 
     async def _serve_guarded(self, request: IncomingRequest, answer: CallerAnswer) -> None:
-        """Serve a request and end its answer whatever happens."""
+        """Serve a request; abort its answer if serving fails to end it."""
         try:
             await self._serve(request, answer)
         except CallerGoneError:
-            # The router has logged how the request ended; nobody is left to answer.
+            # The router has logged the end of the request; there is no caller left to answer.
             pass
         except Exception as exc:
             logs.fault(exc, "serve")
@@ -121,13 +121,13 @@
 
 
 def _caller_left(answer: CallerAnswer, task: asyncio.Task) -> None:
-    """Stop the work on a request whose caller closed the connection before its answer ended."""
+    """Cancel the task of a request whose caller closed the connection before its answer ended."""
     if not answer.ended:
         task.cancel()
 
 
 class _RequestReader(HTTPMessageDelegate):
-    """Collects the parts of one request until it is whole."""
+    """Collects the parts of one request until it is complete."""
 
     def __init__(self, listener: CallerListener, connection: HTTP1Connection) -> None:
         self._listener = listener
@@ -148,7 +148,7 @@
         self._pieces.append(chunk)
 
     def finish(self) -> None:
-        """Serve the request, which is whole."""
+        """Start to serve the request, which is complete."""
         request = IncomingRequest(
             self._line.method,
             self._line.path,
@@ -159,5 +159,5 @@
         self._listener.begin(request, self._connection)
 
     def on_connection_close(self) -> None:
-        """Drop a request that its caller did not finish sending."""
+        """Drop a request whose caller closed the connection before it was complete."""
         self._pieces.clear()
