--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -27,13 +27,13 @@
     choice: Choice,
     connection: HttpConnection,
     codec: RequestCodec,
-    heard: Callable[[Verdict, float], None],
+    on_answer_head: Callable[[Verdict, float], None],
 ) -> End:
     """Send a request to the chosen endpoint, relay its answer, and return how that ended.
 
     Args:
-      heard: Called with the metadata in the head of the answer and the time when the request was
-        sent, on the clock of `clock.now_s`.
+      on_answer_head: Called with the metadata in the head of the answer and the time when the
+        request was sent, on the clock of `clock.now_s`.
 
     Raises:
       TimeoutError: Too little time is left before the deadline; nothing was sent.
@@ -46,11 +46,11 @@
     try:
         head = await read_head_within(silence_s, connection, codec, exchange.request_id)
         verdict = codec.verdict(head)
-        heard(verdict, sent_s)
+        on_answer_head(verdict, sent_s)
         if verdict.not_run:
             exchange.progress.may_have_run = ran_before
-            return await _turned_away(exchange, connection, head, verdict)
-        return await _take_answer(exchange, connection, head, verdict, codec)
+            return await _read_refusal(exchange, connection, head, verdict)
+        return await _relay_or_hold_back(exchange, connection, head, verdict, codec)
     except AnswerBrokenError:
         return End.BROKEN
     except SilentError:
@@ -83,7 +83,7 @@
     return left_s
 
 
-async def _turned_away(
+async def _read_refusal(
     exchange: Exchange, connection: HttpConnection, head: Head, verdict: Verdict
 ) -> End:
     """Read the answer of an endpoint that guarantees that it has not run the request."""
@@ -94,7 +94,7 @@
     return End.TURNED_AWAY if verdict.statements.rest_s is None else End.ASKED_REST
 
 
-async def _take_answer(
+async def _relay_or_hold_back(
     exchange: Exchange,
     connection: HttpConnection,
     head: Head,
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
@@ -31,14 +31,14 @@
 
 # Seconds between two checks of a request that waits for a trial. A small share of the time that a
 # request takes.
-LOOK_S = 0.1
+TRIAL_POLL_INTERVAL_S = 0.1
 # Ends that show that the endpoint survived the request.
-GOOD_ENDS = frozenset({End.DELIVERED, End.ENDPOINT_ERROR})
+SURVIVED_ENDS = frozenset({End.DELIVERED, End.ENDPOINT_ERROR})
 
 
 @dataclass(frozen=True, slots=True)
-class Clearance:
-    """Whether an attempt may be made now.
+class GateDecision:
+    """The gate's decision on whether an attempt may be made now.
 
     Attributes:
       may_send: Whether it may; if not and there is no problem, an endpoint has to be selected
@@ -52,8 +52,8 @@
     problem: Problem | None = None
 
 
-CLEAR = Clearance(may_send=True)
-LOOK_AGAIN = Clearance()
+ALLOWED = GateDecision(may_send=True)
+RESELECT = GateDecision()
 
 
 @dataclass(frozen=True)
@@ -82,33 +82,33 @@
         self._records: CrashRecords = parts.quarantine.records
         self._refused_until_s: dict[str, float] = {}
 
-    async def clear(self, exchange: Exchange, choice: Choice | None) -> Clearance:
-        """Return whether a request may be sent to the selected endpoint.
+    async def check(self, exchange: Exchange, choice: Choice | None) -> GateDecision:
+        """Decide whether a request may be sent to the selected endpoint, as a trial if suspect.
 
         Args:
           choice: None if there is no endpoint, or only endpoints that run enough trials already.
         """
         avoided = exchange.progress.avoided
-        if self._is_free(exchange):
+        if self._is_unsuspected(exchange):
             if choice is None and avoided:
                 avoided.clear()
-                return LOOK_AGAIN
-            return CLEAR
+                return RESELECT
+            return ALLOWED
         if choice is None:
-            return await self._hold(exchange) if avoided else CLEAR
+            return await self._wait_for_trial(exchange) if avoided else ALLOWED
         until_s = self._refused_until_s.get(fingerprint_of(exchange), 0.0)
         if until_s > self._records.now_s():
-            return self._refused(exchange, until_s - self._records.now_s())
-        return await self._ask(exchange, choice)
+            return self._reject(exchange, until_s - self._records.now_s())
+        return await self._request_trial(exchange, choice)
 
-    def _is_free(self, exchange: Exchange) -> bool:
+    def _is_unsuspected(self, exchange: Exchange) -> bool:
         """Return whether a request is neither a suspect nor in quarantine."""
         if not len(self._records):
             return True
         found = self._parts.quarantine.verdict(fingerprint_of(exchange))
         return found.standing is Standing.FREE
 
-    async def _ask(self, exchange: Exchange, choice: Choice) -> Clearance:
+    async def _request_trial(self, exchange: Exchange, choice: Choice) -> GateDecision:
         """Ask the coordinator for a trial of the request at the selected endpoint."""
         fingerprint = fingerprint_of(exchange)
         endpoint_id = choice.state.entry.endpoint_id
@@ -126,62 +126,62 @@
             raise
         match permission.answer:
             case Answer.GRANTED:
-                return Clearance(may_send=True, trial=trial)
+                return GateDecision(may_send=True, trial=trial)
             case Answer.ANOTHER_ENDPOINT:
                 exchange.progress.avoided |= set(permission.avoided) | {endpoint_id}
-                return LOOK_AGAIN
+                return RESELECT
             case Answer.WAIT:
-                return await self._hold(exchange)
+                return await self._wait_for_trial(exchange)
             case Answer.QUARANTINED:
                 until_s = self._records.now_s() + permission.wait_s
                 self._refused_until_s[fingerprint] = until_s
-                return self._refused(exchange, permission.wait_s)
+                return self._reject(exchange, permission.wait_s)
 
-    async def _hold(self, exchange: Exchange) -> Clearance:
+    async def _wait_for_trial(self, exchange: Exchange) -> GateDecision:
         """Wait a moment for another trial to end, or give up a request that has waited too long."""
         progress = exchange.progress
         now_s = clock.now_s()
         progress.held_since_s = progress.held_since_s or now_s
         if now_s - progress.held_since_s > giving_up.longest_hold_s(exchange.route):
             problem = giving_up.while_tried(exchange.attempts())
-            return Clearance(problem=problem)
+            return GateDecision(problem=problem)
         progress.avoided.clear()
-        await asyncio.sleep(LOOK_S)
-        return LOOK_AGAIN
+        await asyncio.sleep(TRIAL_POLL_INTERVAL_S)
+        return RESELECT
 
-    def _refused(self, exchange: Exchange, wait_s: float) -> Clearance:
+    def _reject(self, exchange: Exchange, wait_s: float) -> GateDecision:
         """Return that the request is given up because it is in quarantine."""
         crashes = self._parts.quarantine.verdict(fingerprint_of(exchange)).crashes
         problem = giving_up.in_quarantine(exchange.attempts(), crashes, wait_s)
-        return Clearance(problem=problem)
+        return GateDecision(problem=problem)
 
     @contextlib.contextmanager
-    def attempt(self, exchange: Exchange, clearance: Clearance) -> Iterator[None]:
+    def attempt(self, exchange: Exchange, decision: GateDecision) -> Iterator[None]:
         """Mark a trial, if there is one, as running during the block, and report its end after."""
-        exchange.progress.on_trial = bool(clearance.trial)
+        exchange.progress.on_trial = bool(decision.trial)
         try:
             yield
         finally:
             exchange.progress.on_trial = False
-            if clearance.trial:
+            if decision.trial:
                 self._parts.permits.end(
-                    fingerprint_of(exchange), clearance.trial, exchange.demand.service
+                    fingerprint_of(exchange), decision.trial, exchange.demand.service
                 )
 
-    async def note_end(self, exchange: Exchange, state: EndpointState, end: End) -> bool:
+    async def record_end(self, exchange: Exchange, state: EndpointState, end: End) -> bool:
         """Record the outcome of an attempt for its request; return whether its endpoint crashed."""
-        if end in GOOD_ENDS and len(self._records):
+        if end in SURVIVED_ENDS and len(self._records):
             self._acquit(exchange)
         if end is not End.BROKEN:
             return False
         on_trial = exchange.progress.on_trial
 
-        def note() -> None:
-            self._note_crash(exchange, state, on_trial)
+        def record_crash() -> None:
+            self._record_crash(exchange, state, on_trial)
 
-        has_crashed = await self._parts.confirmation.has_crashed(state, late=note)
+        has_crashed = await self._parts.confirmation.has_crashed(state, late=record_crash)
         if has_crashed:
-            note()
+            record_crash()
         return has_crashed
 
     def _acquit(self, exchange: Exchange) -> None:
@@ -198,7 +198,7 @@
         if before.standing is Standing.QUARANTINED:
             self._parts.stored.left(fingerprint)
 
-    def _note_crash(self, exchange: Exchange, state: EndpointState, on_trial: bool) -> None:
+    def _record_crash(self, exchange: Exchange, state: EndpointState, on_trial: bool) -> None:
         """Record that the endpoint crashed while it ran the request."""
         fingerprint = fingerprint_of(exchange)
         entry = state.entry
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
@@ -108,7 +108,7 @@
 def test_a_caller_that_leaves_while_a_trial_is_asked_for_gives_it_back(gate, peers, exchange):
     async def body():
         peers.hangs = True
-        asking = asyncio.ensure_future(gate.clear(exchange, choice_of("i-1")))
+        asking = asyncio.ensure_future(gate.check(exchange, choice_of("i-1")))
         await asyncio.sleep(0.01)
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
@@ -120,8 +120,8 @@
 def test_each_attempt_of_a_request_is_a_trial_of_its_own(gate, peers, exchange):
     async def body():
         for _ in range(2):
-            clearance = await gate.clear(exchange, choice_of("i-1"))
-            with gate.attempt(exchange, clearance):
+            decision = await gate.check(exchange, choice_of("i-1"))
+            with gate.attempt(exchange, decision):
                 exchange.progress.sends += 1
 
     asyncio.run(body())
@@ -140,8 +140,8 @@
     records.acquit("page")
 
     async def body():
-        with gate.attempt(exchange, await gate.clear(exchange, choice_of("i-1"))):
-            await gate.note_end(exchange, state_of("i-1"), End.BROKEN)
+        with gate.attempt(exchange, await gate.check(exchange, choice_of("i-1"))):
+            await gate.record_end(exchange, state_of("i-1"), End.BROKEN)
 
     asyncio.run(body())
     assert_that(peers.stored, Equals([NAME]))
@@ -151,7 +151,7 @@
     peers.answer = Permission(Answer.QUARANTINED, wait_s=20.0)
 
     async def body():
-        return [await gate.clear(exchange, choice_of("i-1")) for _ in range(3)]
+        return [await gate.check(exchange, choice_of("i-1")) for _ in range(3)]
 
     found = asyncio.run(body())
     assert_that([each.problem is None for each in found], Equals([False] * 3))
@@ -164,7 +164,7 @@
     async def body():
         begun_s = node_clock.now_s()
         while True:
-            found = await gate.clear(exchange, choice_of("i-1"))
+            found = await gate.check(exchange, choice_of("i-1"))
             if found.problem is not None:
                 return found.problem, node_clock.now_s() - begun_s
 
@@ -179,6 +179,6 @@
 ):
     exchange.progress.avoided.add("i-1")
     records.acquit(NAME)
-    found = asyncio.run(gate.clear(exchange, None))
+    found = asyncio.run(gate.check(exchange, None))
     assert_that((found.may_send, found.problem), Equals((False, None)))
     assert_that(exchange.progress.avoided, Equals(set()))
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
@@ -22,10 +22,10 @@
 
 # Seconds that one request may wait for granters in total, some round trips. Its caller waits
 # meanwhile.
-LONGEST_ASKING_S = 0.04
+MAX_PERMIT_WAIT_S = 0.04
 # Seconds for which an endpoint is held back whose granter did not answer in that time, or could not
 # be asked. After that the substitute granter is asked.
-NOT_ANSWERED_S = 0.1
+HOLD_UNANSWERED_S = 0.1
 
 
 @dataclass(frozen=True)
@@ -63,7 +63,7 @@
         held = self._held.ids(exchange.demand.priority)
         return exchange.progress.held_back | {each for each in held if table.is_limited(each)}
 
-    async def may_send(self, exchange: Exchange, entry: EndpointEntry) -> bool:
+    async def acquire_permit(self, exchange: Exchange, entry: EndpointEntry) -> bool:
         """Acquire a permit if the endpoint has a limit; if denied, hold the endpoint back.
 
         Returns:
@@ -71,32 +71,32 @@
         """
         if self._parts.table.per_s(entry.incarnation) is None:
             return True
-        if await self._ask(exchange, entry):
+        if await self._request_permit(exchange, entry):
             return True
         exchange.progress.held_back.add(entry.endpoint_id)
         return False
 
-    async def _ask(self, exchange: Exchange, entry: EndpointEntry) -> bool:
+    async def _request_permit(self, exchange: Exchange, entry: EndpointEntry) -> bool:
         """Ask the granter for a permit, and return whether it was granted."""
         parts, progress = self._parts, exchange.progress
         priority = exchange.demand.priority
-        left_s = LONGEST_ASKING_S - progress.permit_wait_s
+        left_s = MAX_PERMIT_WAIT_S - progress.permit_wait_s
         if left_s <= 0.0:
-            self._held.hold(entry.endpoint_id, priority, NOT_ANSWERED_S)
+            self._held.hold(entry.endpoint_id, priority, HOLD_UNANSWERED_S)
             return False
-        began_s = parts.clock()
+        started_s = parts.clock()
         grant = await parts.permits.ask(entry, priority, left_s)
-        progress.permit_wait_s += parts.clock() - began_s
-        parts.log.asked(exchange, entry, grant)
+        progress.permit_wait_s += parts.clock() - started_s
+        parts.log.permit_answered(exchange, entry, grant)
         if grant is None:
-            self._held.hold(entry.endpoint_id, 0, NOT_ANSWERED_S)
+            self._held.hold(entry.endpoint_id, 0, HOLD_UNANSWERED_S)
             return False
         if not grant.granted:
             self._held.hold(entry.endpoint_id, priority, grant.wait_s)
         return grant.granted
 
     @contextlib.contextmanager
-    def permit(self, exchange: Exchange, entry: EndpointEntry) -> Iterator[None]:
+    def hold_permit(self, exchange: Exchange, entry: EndpointEntry) -> Iterator[None]:
         """Hold the permit during the block, and give it back if the block sends nothing."""
         is_limited = self._parts.table.per_s(entry.incarnation) is not None
         sends = exchange.progress.sends
@@ -107,7 +107,7 @@
             if is_limited and exchange.progress.sends == sends:
                 self._parts.permits.give_back(entry)
 
-    def spent(self, exchange: Exchange) -> RatesSpent | None:
+    def exhausted_rates(self, exchange: Exchange) -> RatesSpent | None:
         """Return the exhausted rate limits that keep a request from its endpoints, or None."""
         held = self.held_back(exchange)
         if not held:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate_log.py
@@ -20,7 +20,9 @@
         """Keep the metrics."""
         self._telemetry = telemetry
 
-    def asked(self, exchange: Exchange, entry: EndpointEntry, grant: Grant | None) -> None:
+    def permit_answered(
+        self, exchange: Exchange, entry: EndpointEntry, grant: Grant | None
+    ) -> None:
         """Count the result of asking for a permit, and log it unless it was granted.
 
         Args:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
@@ -15,7 +15,7 @@
 from springbridge_node.gateway.peers.peer_builds import FIRST_HEARTBEAT_WITH_LOOKUPS
 from springbridge_node.gateway.peers.rate_permits import SETTLE_S
 from springbridge_node.gateway.peers.statement_sharing import NEWS_S
-from springbridge_node.gateway.requests.rate_gate import LONGEST_ASKING_S
+from springbridge_node.gateway.requests.rate_gate import MAX_PERMIT_WAIT_S
 
 # Seconds within which every instance has to know of a rate.
 KNOWN_S = 0.5
@@ -46,7 +46,7 @@
     began_s = loop.time()
     entry = instance.fleet.endpoints[0].entry
     demand = mock.Mock(priority=priority, service="model")
-    may = await instance.gate.may_send(DrawnExchange("q", demand), entry)
+    may = await instance.gate.acquire_permit(DrawnExchange("q", demand), entry)
     return may, loop.time() - began_s
 
 
@@ -112,7 +112,7 @@
         asker = fleet.instances[(gone + 1) % 8]
         may, took_s = await ask(asker)
         assert_that(may, Is(False))
-        assert_that(took_s, LessThan(LONGEST_ASKING_S + 0.001))
+        assert_that(took_s, LessThan(MAX_PERMIT_WAIT_S + 0.001))
         other = DrawnExchange("r", mock.Mock(priority=0))
         assert_that(asker.gate.held_back(other), Equals({"e0"}))
 
@@ -233,7 +233,7 @@
         await asyncio.sleep(KNOWN_S)
         asker = fleet.instances[(granter_of(fleet) + 1) % 8]
         exchange = DrawnExchange("q", mock.Mock(priority=1, service="model"))
-        while await asker.gate.may_send(exchange, fleet.endpoints[0].entry):
+        while await asker.gate.acquire_permit(exchange, fleet.endpoints[0].entry):
             pass
         asker.parts.table.keep_only(set())
         await asyncio.sleep(10.0)
@@ -255,9 +255,9 @@
         got = 0
         for _ in range(6):
             exchange = DrawnExchange("q", mock.Mock(priority=1, service="model"))
-            if await asker.gate.may_send(exchange, entry):
+            if await asker.gate.acquire_permit(exchange, entry):
                 got += 1
-                with asker.gate.permit(exchange, entry):
+                with asker.gate.hold_permit(exchange, entry):
                     exchange.progress.sends += sent
             await asyncio.sleep(0.01)
         assert_that(got, Equals(permits))
--- a/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
@@ -17,7 +17,7 @@
 
 # Bytes of a plain answer that are buffered until it is complete, so that another endpoint can still
 # answer if the connection breaks. Bounds the memory of each request in progress.
-HELD_BYTES = 256 << 10
+MAX_BUFFERED_BYTES = 256 << 10
 
 
 async def relay(
@@ -51,16 +51,16 @@
 ) -> None:
     """Relay a plain answer: in one write if it fits the buffer, else in pieces."""
     answer = exchange.answer
-    held = bytearray()
+    buffered = bytearray()
     async for piece in connection.read_body(head):
         if answer.started:
             await answer.write(piece)
             continue
-        held += piece
-        if len(held) > HELD_BYTES:
-            await _start(exchange, head, codec, bytes(held), head.length)
+        buffered += piece
+        if len(buffered) > MAX_BUFFERED_BYTES:
+            await _start(exchange, head, codec, bytes(buffered), head.length)
     if not answer.started:
-        await _start(exchange, head, codec, bytes(held), len(held))
+        await _start(exchange, head, codec, bytes(buffered), len(buffered))
 
 
 async def _relay_events(
@@ -76,16 +76,16 @@
         events = splitter.feed(piece)
         if events and progress.load is not None:
             progress.load.read()
-        fresh = [event for event in events if _is_fresh(progress, event.event_id)]
-        if fresh:
-            await _pass_on(exchange, head, codec, b"".join(event.raw for event in fresh))
-            ids = [event.event_id for event in fresh if event.event_id is not None]
+        new_events = [event for event in events if _is_new_to_caller(progress, event.event_id)]
+        if new_events:
+            await _relay_piece(exchange, head, codec, b"".join(event.raw for event in new_events))
+            ids = [event.event_id for event in new_events if event.event_id is not None]
             progress.last_event = ids[-1] if ids else progress.last_event
     if splitter.rest or not exchange.answer.started:
-        await _pass_on(exchange, head, codec, splitter.rest)
+        await _relay_piece(exchange, head, codec, splitter.rest)
 
 
-def _is_fresh(progress: Progress, event_id: str | None) -> bool:
+def _is_new_to_caller(progress: Progress, event_id: str | None) -> bool:
     """Return whether the caller does not have an event yet.
 
     Events without an id, and ids that are not numbers, count as new.
@@ -97,7 +97,7 @@
     return True
 
 
-async def _pass_on(exchange: Exchange, head: Head, codec: RequestCodec, data: bytes) -> None:
+async def _relay_piece(exchange: Exchange, head: Head, codec: RequestCodec, data: bytes) -> None:
     """Send a piece of a stream to the caller, preceded by the head if it is the first."""
     if exchange.answer.started:
         exchange.progress.piece_passed_on(clock.now_s())
--- a/packages/springbridge-node/springbridge_node/gateway/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -144,12 +144,12 @@
                 return giving_up.when_overloaded(selection.overload)
             chosen = selection.choice
             progress.last_resort = chosen is not None and chosen.state.said.leaving.is_certain
-            clearance = await self._parts.gate.clear(exchange, selection.choice)
-            if clearance.problem is not None:
-                return clearance.problem
-            if not clearance.may_send:
+            decision = await self._parts.gate.check(exchange, selection.choice)
+            if decision.problem is not None:
+                return decision.problem
+            if not decision.may_send:
                 continue
-            with self._parts.gate.attempt(exchange, clearance):
+            with self._parts.gate.attempt(exchange, decision):
                 outcome = await self._send(exchange, selection.choice)
             if isinstance(outcome, Problem):
                 return outcome
@@ -169,16 +169,16 @@
         if choice is None:
             return self._without_endpoint(exchange)
         entry = choice.state.entry
-        if not await self._parts.rates.gate.may_send(exchange, entry):
+        if not await self._parts.rates.gate.acquire_permit(exchange, entry):
             return None
-        with self._parts.rates.gate.permit(exchange, entry):
+        with self._parts.rates.gate.hold_permit(exchange, entry):
             return await self._send_permitted(exchange, choice)
 
     def _without_endpoint(self, exchange: Exchange) -> Problem:
         """Return why a request for which no endpoint was selected is given up."""
         route, attempts = exchange.route, exchange.attempts()
         exchange.progress.obstacles = self._parts.registry.obstacles(exchange.demand.service)
-        spent = self._parts.rates.gate.spent(exchange)
+        spent = self._parts.rates.gate.exhausted_rates(exchange)
         if spent is not None:
             return giving_up.when_rates_spent(route, attempts, spent)
         rest = self._parts.rest_refusals.refuse(exchange.demand.service)
@@ -201,7 +201,7 @@
                 self._parts.pool.release(choice.state.entry.incarnation, connection)
                 return None
             end = await self._attempt(exchange, choice, connection)
-        if await self._parts.gate.note_end(exchange, choice.state, end):
+        if await self._parts.gate.record_end(exchange, choice.state, end):
             # No process listens there any more, so other requests need not try it.
             self._parts.loads.unreached(choice.state.entry)
         return end
@@ -256,14 +256,14 @@
         exchange.progress.chosen.append(chosen)
         self._parts.registry.sends(choice.state)
         try:
-            began = partial(self._parts.usage.began, exchange.admitted)
-            with self._parts.loads.attempt(choice, exchange.demand, began) as load:
+            count_run = partial(self._parts.usage.began, exchange.admitted)
+            with self._parts.loads.attempt(choice, exchange.demand, count_run) as load:
                 exchange.progress.load = load
-                heard = partial(
-                    self._parts.rates.watch.heard, choice.state.entry, exchange.request_id
+                on_answer_head = partial(
+                    self._parts.rates.watch.record, choice.state.entry, exchange.request_id
                 )
                 codec = self._parts.codec
-                end = await make_attempt(exchange, choice, connection, codec, heard)
+                end = await make_attempt(exchange, choice, connection, codec, on_answer_head)
         except BaseException:
             self._parts.pool.discard(incarnation, connection)
             raise
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
@@ -35,7 +35,9 @@
         self._log = log
         self._clock = clock
 
-    def heard(self, entry: EndpointEntry, request_id: str, verdict: Verdict, sent_s: float) -> None:
+    def record(
+        self, entry: EndpointEntry, request_id: str, verdict: Verdict, sent_s: float
+    ) -> None:
         """Record the statements in the head of an answer.
 
         Args:
@@ -45,27 +47,27 @@
         """
         if verdict.other_endpoint:
             return
-        said = verdict.statements
-        self._log.not_understood(entry, said)
-        self._heard_rate(entry, said.rate, sent_s)
-        if said.leaves:
-            self._heard_leaving(entry, request_id)
-        if said.rest_s is None:
+        statements = verdict.statements
+        self._log.not_understood(entry, statements)
+        self._record_rate(entry, statements.rate, sent_s)
+        if statements.leaves:
+            self._record_leaving(entry, request_id)
+        if statements.rest_s is None:
             self._registry.statements.asked_no_rest(entry.incarnation, sent_s)
         else:
-            rest = self._registry.statements.asked_rest(entry.incarnation, said.rest_s)
-            self._sharing.heard_rest(entry.incarnation, said.rest_s)
-            self._log.asks_rest(entry, request_id, said.rest_s, rest.until_s - self._clock())
+            rest = self._registry.statements.asked_rest(entry.incarnation, statements.rest_s)
+            self._sharing.heard_rest(entry.incarnation, statements.rest_s)
+            self._log.asks_rest(entry, request_id, statements.rest_s, rest.until_s - self._clock())
 
-    def _heard_rate(self, entry: EndpointEntry, stated: StatedRate, sent_s: float) -> None:
+    def _record_rate(self, entry: EndpointEntry, stated: StatedRate, sent_s: float) -> None:
         """Record the rate limit that an answer states, or that it states none."""
         if stated == StatedRate() and not len(self._rates):
             return
         if is_readable(stated):
-            told = Statement(rate_of(stated), sent_s, self._clock())
-            self._sharing.heard(entry.incarnation, told)
+            statement = Statement(rate_of(stated), sent_s, self._clock())
+            self._sharing.heard(entry.incarnation, statement)
 
-    def _heard_leaving(self, entry: EndpointEntry, request_id: str) -> None:
+    def _record_leaving(self, entry: EndpointEntry, request_id: str) -> None:
         """Record that an endpoint leaves, and share it with peers if it is new."""
         if self._registry.heard_leaving(entry.incarnation):
             log_leaving(entry.endpoint_id, ANSWER, request_id)
--- a/packages/springbridge-standins/springbridge_standins/mutants/rate_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/rate_mutants.py
@@ -13,7 +13,7 @@
     Mutant(
         "a rate: requests need a permit",
         f"{NODE}/gateway/requests/router.py",
-        "if not await self._parts.rates.gate.may_send(exchange, entry):",
+        "if not await self._parts.rates.gate.acquire_permit(exchange, entry):",
         "if False:",
         f"{NAMED_RATE}::test_an_endpoint_gets_no_more_than_the_rate_that_it_names",
     ),
--- a/packages/springbridge-standins/springbridge_standins/rates/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/fleet.py
@@ -129,14 +129,14 @@
             free = [each for each in self.fleet.endpoints if each.entry.endpoint_id in states]
             if not free:
                 self.refused_s.append(loop.time() - began_s)
-                spent = self.gate.spent(exchange)
+                spent = self.gate.exhausted_rates(exchange)
                 if spent is not None:
                     self.retry_after_s.append(spent.retry_after_s)
                 return
             endpoint = min(free, key=lambda each: (self.sent[each.entry.endpoint_id], id(each)))
             state = states[endpoint.entry.endpoint_id]
             last_resort = state.said.leaving.is_certain
-            if not await self.gate.may_send(exchange, endpoint.entry):
+            if not await self.gate.acquire_permit(exchange, endpoint.entry):
                 continue
             await self._thawed()
             if self.registry.may_get_request(state, last_resort):
@@ -157,7 +157,7 @@
         verdict = await endpoint.answer(request)
         await self._thawed()
         self.sent[endpoint.entry.endpoint_id] -= 1
-        self.parts.watch.heard(endpoint.entry, "", verdict, sent_s)
+        self.parts.watch.record(endpoint.entry, "", verdict, sent_s)
         if verdict.statements.leaves:
             endpoint.said.passed_on(self.member.incarnation, loop.time())
 
--- a/packages/springbridge-standins/springbridge_standins/rates/ways.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/ways.py
@@ -44,7 +44,7 @@
             if each.record.per_s() is not None and self._permits(each.entry) < 1.0
         }
 
-    async def may_send(self, exchange: DrawnExchange, entry: EndpointEntry) -> bool:
+    async def acquire_permit(self, exchange: DrawnExchange, entry: EndpointEntry) -> bool:
         """Return whether a request may be sent, and count it."""
         self.asked_s.append(asyncio.get_running_loop().time())
         if self._rate(entry) is None:
@@ -54,7 +54,7 @@
         self._left[entry.endpoint_id] -= 1.0
         return True
 
-    def spent(self, exchange: DrawnExchange) -> RatesSpent | None:
+    def exhausted_rates(self, exchange: DrawnExchange) -> RatesSpent | None:
         """Note that a request was refused."""
         self.asked_s.append(asyncio.get_running_loop().time())
 
