--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
@@ -79,11 +79,11 @@
             tasks.append(every(ACT_S, self.scaler.step, FIRST_LOOK_S))
         return tuple(tasks)
 
-    def sent(self, admitted: Admitted) -> None:
+    def count_admitted(self, admitted: Admitted) -> None:
         """Count the work of a request that is sent to endpoints."""
         self.sharing.sent(admitted)
 
-    def began(self, admitted: Admitted) -> None:
+    def count_run(self, admitted: Admitted) -> None:
         """Count a request that an endpoint began."""
         if admitted.customer:
             self.sharing.began(admitted.customer)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -54,7 +54,7 @@
 from springbridge_node.gateway.requests.rest_refusals import RestRefusals
 from springbridge_node.gateway.requests.router import RequestRouter, RouterParts
 from springbridge_node.gateway.requests.selection_parts import SelectionParts
-from springbridge_node.gateway.requests.usage_meter import NoUsage
+from springbridge_node.gateway.requests.usage_meter import NullUsageMeter
 from springbridge_node.gateway.telemetry import Telemetry
 from springbridge_node.periodic import every, every_tick
 
@@ -108,7 +108,7 @@
         )
         self.peer_client = PeerClient(self.membership, lambda: list(self.settings.other_seeds))
         self.evacuations = EvacuationSharing(
-            self.membership, self.registry, changed=self.rates.look_for_cold
+            self.membership, self.registry, changed=self.rates.update_cold_limits
         )
         self.configuration = self._configuration_follower()
         self.duties = duty_parts(
@@ -173,7 +173,7 @@
         """Return what the router works with."""
         return RouterParts(
             index=lambda: self.configuration.index,
-            configuration_due_s=self.configuration.due_s,
+            configuration_retry_after_s=self.configuration.due_s,
             registry=self.registry,
             pool=self.pool,
             budget=self.budget,
@@ -183,7 +183,7 @@
             loads=self.selection_parts.loads,
             gate=self.quarantine_parts.gate,
             failure_domain=self.settings.failure_domain,
-            usage=self.duties or NoUsage(),
+            usage=self.duties or NullUsageMeter(),
             rates=self.rates,
             rest_refusals=RestRefusals(self.registry, self.telemetry),
         )
--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -13,13 +13,13 @@
 from springbridge_node.gateway.http.http_connection import HttpConnection
 from springbridge_node.gateway.http.http_head import AnswerBrokenError, Head
 from springbridge_node.gateway.requests.endpoint_answer import (
-    SilentError,
+    AnswerTimeoutError,
     read_head_within,
-    read_whole,
+    read_whole_body,
 )
 from springbridge_node.gateway.requests.exchange import Exchange, HeldFailure
 from springbridge_node.gateway.requests.relay import relay
-from springbridge_node.gateway.requests.request_codec import RequestCodec, Verdict
+from springbridge_node.gateway.requests.request_codec import AnswerMetadata, RequestCodec
 
 
 async def make_attempt(
@@ -27,7 +27,7 @@
     choice: Choice,
     connection: HttpConnection,
     codec: RequestCodec,
-    on_answer_head: Callable[[Verdict, float], None],
+    on_answer_head: Callable[[AnswerMetadata, float], None],
 ) -> End:
     """Send a request to the chosen endpoint, relay its answer, and return how that ended.
 
@@ -45,15 +45,15 @@
     silence_s = retries.silence_limit_s(exchange.route, exchange.attempts(), left_s)
     try:
         head = await read_head_within(silence_s, connection, codec, exchange.request_id)
-        verdict = codec.verdict(head)
-        on_answer_head(verdict, sent_s)
-        if verdict.not_run:
+        metadata = codec.answer_metadata(head)
+        on_answer_head(metadata, sent_s)
+        if metadata.not_run:
             exchange.progress.may_have_run = ran_before
-            return await _read_refusal(exchange, connection, head, verdict)
-        return await _relay_or_hold_back(exchange, connection, head, verdict, codec)
+            return await _read_refusal(exchange, connection, head, metadata)
+        return await _relay_or_hold_back(exchange, connection, head, metadata, codec)
     except AnswerBrokenError:
         return End.BROKEN
-    except SilentError:
+    except AnswerTimeoutError:
         return End.SILENT
 
 
@@ -84,28 +84,28 @@
 
 
 async def _read_refusal(
-    exchange: Exchange, connection: HttpConnection, head: Head, verdict: Verdict
+    exchange: Exchange, connection: HttpConnection, head: Head, metadata: AnswerMetadata
 ) -> End:
     """Read the answer of an endpoint that guarantees that it has not run the request."""
-    await read_whole(connection, head)
-    if verdict.other_endpoint:
+    await read_whole_body(connection, head)
+    if metadata.other_endpoint:
         exchange.progress.misdirected += 1
         return End.OTHER_ENDPOINT
-    return End.TURNED_AWAY if verdict.statements.rest_s is None else End.ASKED_REST
+    return End.TURNED_AWAY if metadata.statements.rest_s is None else End.ASKED_REST
 
 
 async def _relay_or_hold_back(
     exchange: Exchange,
     connection: HttpConnection,
     head: Head,
-    verdict: Verdict,
+    metadata: AnswerMetadata,
     codec: RequestCodec,
 ) -> End:
     """Relay an answer, or hold back a failure so that another endpoint can be tried."""
     if not exchange.route.streaming and exchange.progress.load is not None:
         exchange.progress.load.read()
     if giving_up.holds_failure(exchange.route, head.status):
-        exchange.progress.failure = HeldFailure(head, await read_whole(connection, head))
-        return End.ENDPOINT_ERROR if verdict.statements.rest_s is None else End.ASKED_REST
+        exchange.progress.failure = HeldFailure(head, await read_whole_body(connection, head))
+        return End.ENDPOINT_ERROR if metadata.statements.rest_s is None else End.ASKED_REST
     await relay(exchange, connection, head, codec)
     return End.DELIVERED
--- a/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_answer.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/endpoint_answer.py
@@ -12,10 +12,10 @@
 
 # Answers that are read from a connection in search of the right one before it counts as broken.
 # Bounds the reading from an endpoint that mixes up its answers.
-STALE_ANSWERS = 3
+MAX_ANSWERS_READ = 3
 
 
-class SilentError(Exception):
+class AnswerTimeoutError(Exception):
     """An endpoint did not begin its answer in time."""
 
 
@@ -28,7 +28,7 @@
       seconds: How long to wait for it, or None for no limit but the request's deadline.
 
     Raises:
-      SilentError: It did not arrive in time.
+      AnswerTimeoutError: It did not arrive in time.
       AnswerBrokenError: The connection ended, or carried only answers of other requests.
     """
     limit = asyncio.timeout(seconds)
@@ -37,15 +37,15 @@
             return await _read_own_head(connection, codec, request_id)
     except TimeoutError as exc:
         if limit.expired():
-            raise SilentError from exc
+            raise AnswerTimeoutError from exc
         raise
 
 
 async def _read_own_head(connection: HttpConnection, codec: RequestCodec, request_id: str) -> Head:
     """Return the head of the answer that belongs to a request, skipping stale answers."""
-    for _ in range(STALE_ANSWERS):
+    for _ in range(MAX_ANSWERS_READ):
         head = await connection.read_head()
-        answered = codec.verdict(head).request_id
+        answered = codec.answer_metadata(head).request_id
         if answered in ("", request_id):
             return head
         if head.unframed:
@@ -55,7 +55,7 @@
     raise AnswerBrokenError("only answers of other requests")
 
 
-async def read_whole(connection: HttpConnection, head: Head) -> bytes:
+async def read_whole_body(connection: HttpConnection, head: Head) -> bytes:
     """Return the whole body of an answer.
 
     Raises:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/exchange.py
@@ -108,7 +108,7 @@
     obstacles: dict[str, int] = field(default_factory=dict)
     fingerprint: str = ""
 
-    def piece_passed_on(self, now_s: float) -> None:
+    def note_piece_relayed(self, now_s: float) -> None:
         """Record the time at which a piece of the answer is sent to the caller."""
         if self.first_piece_s is None:
             self.first_piece_s = now_s
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts.py
@@ -66,10 +66,10 @@
 
     async def beat(self) -> None:
         """Run the periodic work; called at each heartbeat."""
-        self.look_for_cold()
+        self.update_cold_limits()
         await self.sharing.beat()
 
-    def look_for_cold(self) -> None:
+    def update_cold_limits(self) -> None:
         """Apply the rate limits that services configure for cold endpoints."""
         services = self._services()
         rates = {}
--- a/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/relay.py
@@ -100,7 +100,7 @@
 async def _relay_piece(exchange: Exchange, head: Head, codec: RequestCodec, data: bytes) -> None:
     """Send a piece of a stream to the caller, preceded by the head if it is the first."""
     if exchange.answer.started:
-        exchange.progress.piece_passed_on(clock.now_s())
+        exchange.progress.note_piece_relayed(clock.now_s())
         await exchange.answer.write(data)
     else:
         await _start(exchange, head, codec, data, None)
@@ -117,7 +117,7 @@
     headers = codec.caller_headers(head)
     if length is not None:
         headers["Content-Length"] = str(length)
-    exchange.progress.piece_passed_on(clock.now_s())
+    exchange.progress.note_piece_relayed(clock.now_s())
     if exchange.progress.load is not None:
         exchange.progress.load.read()
     await exchange.answer.start(head.status, head.reason, headers, piece)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_codec.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_codec.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class AnswerMetadata:
     """What the head of an endpoint's answer says about the attempt and the endpoint.
 
     Attributes:
@@ -55,7 +55,7 @@
           resume_after: Id of the last event that the caller has received, or None.
         """
 
-    def verdict(self, head: Head) -> Verdict:
+    def answer_metadata(self, head: Head) -> AnswerMetadata:
         """Parse the metadata in the head of an endpoint's answer."""
 
     def caller_headers(self, head: Head) -> HTTPHeaders:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -18,15 +18,15 @@
 
 # Upper bound in seconds for the logged age of the endpoint list, which is infinite before the first
 # list and could not be written as a number in JSON. Above any age that occurs.
-LONGEST_AGE_S = 1e6
+MAX_LOGGED_AGE_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
-    """How a request ended.
+class RequestOutcome:
+    """How a request ended: the result code and its reason.
 
     Attributes:
-      result: Name of the result code, or one of the endings below; a label of the metrics.
+      result: Name of the result code, or one of the outcomes below; a label of the metrics.
       reason: What caused the result, "" where the result says it all.
     """
 
@@ -34,8 +34,8 @@
     reason: str = ""
 
 
-SERVED = Ending("served")
-CALLER_LEFT = Ending("caller left")
+SERVED = RequestOutcome("served")
+CALLER_LEFT = RequestOutcome("caller left")
 
 
 class RequestLog:
@@ -92,7 +92,7 @@
             after_ms=_age_ms(exchange),
         )
 
-    def ended(self, exchange: Exchange, ending: Ending, list_age_s: float) -> None:
+    def ended(self, exchange: Exchange, outcome: RequestOutcome, list_age_s: float) -> None:
         """Log the end of a request, with its result and the endpoints it was sent to.
 
         Args:
@@ -104,7 +104,7 @@
             first_s = progress.first_piece_s - admitted.arrival.arrived_s
             first_ms = round(first_s * 1000)
             self._telemetry.first_piece.labels(admitted.route.name).observe(first_s)
-        self._telemetry.requests.labels(admitted.route.name, ending.result).inc()
+        self._telemetry.requests.labels(admitted.route.name, outcome.result).inc()
         logs.event(
             "request.ended",
             request_id=exchange.request_id,
@@ -112,12 +112,12 @@
             service=admitted.service.name,
             customer=admitted.customer,
             config_version=admitted.version,
-            list_age_ms=round(min(list_age_s, LONGEST_AGE_S) * 1000),
-            engines=[_log_row(chosen, exchange) for chosen in progress.chosen],
+            list_age_ms=round(min(list_age_s, MAX_LOGGED_AGE_S) * 1000),
+            engines=[_endpoint_fields(chosen, exchange) for chosen in progress.chosen],
             sends=progress.sends,
             fingerprint=progress.fingerprint,
-            result=ending.result,
-            reason=ending.reason,
+            result=outcome.result,
+            reason=outcome.reason,
             obstacles=progress.obstacles,
             first_ms=first_ms,
             pause_ms=round(progress.longest_pause_s * 1000),
@@ -125,7 +125,7 @@
         )
 
 
-def _log_row(chosen: ChosenEndpoint, exchange: Exchange) -> dict[str, object]:
+def _endpoint_fields(chosen: ChosenEndpoint, exchange: Exchange) -> dict[str, object]:
     """Return the log fields of an endpoint that a request was sent to."""
     return {
         "engine": chosen.endpoint,
--- a/packages/springbridge-node/springbridge_node/gateway/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -39,8 +39,8 @@
 from springbridge_node.gateway.requests.request_log import (
     CALLER_LEFT,
     SERVED,
-    Ending,
     RequestLog,
+    RequestOutcome,
 )
 from springbridge_node.gateway.requests.rest_refusals import RestRefusals
 from springbridge_node.gateway.requests.usage_meter import UsageMeter
@@ -52,13 +52,13 @@
 
     Attributes:
       index: Returns the newest configuration, or None before the first.
-      configuration_due_s: Returns the seconds after which callers should retry while there is no
-        configuration yet.
+      configuration_retry_after_s: Returns the seconds after which callers should retry while there
+        is no configuration yet.
       failure_domain: Failure domain of this instance.
     """
 
     index: Callable[[], RouteIndex | None]
-    configuration_due_s: Callable[[], float]
+    configuration_retry_after_s: Callable[[], float]
     registry: EndpointRegistry
     pool: ConnectionPool
     budget: SharedRetryBudget
@@ -87,7 +87,7 @@
           CallerGoneError: The caller has closed its connection.
         """
         arrival = self._parts.codec.read_arrival(request)
-        match admit(self._parts.index(), arrival, self._parts.configuration_due_s()):
+        match admit(self._parts.index(), arrival, self._parts.configuration_retry_after_s()):
             case Failure(problem):
                 await self.refuse(request, answer, problem)
             case Success(admitted):
@@ -111,17 +111,19 @@
     async def _serve_admitted(self, exchange: Exchange) -> None:
         """Serve an admitted request, and log its outcome even if it fails or is cancelled."""
         self._parts.budget.note_request(exchange.demand.service)
-        self._parts.usage.sent(exchange.admitted)
-        ending = CALLER_LEFT
+        self._parts.usage.count_admitted(exchange.admitted)
+        outcome = CALLER_LEFT
         try:
-            problem = await self._until_deadline(exchange)
-            ending = SERVED if problem is None else Ending(problem.code.name, problem.detail)
+            problem = await self._attempt_until_deadline(exchange)
+            outcome = (
+                SERVED if problem is None else RequestOutcome(problem.code.name, problem.detail)
+            )
             if problem is not None:
                 await self._give_up(exchange, problem)
         finally:
-            self._parts.request_log.ended(exchange, ending, self._parts.registry.age_s())
+            self._parts.request_log.ended(exchange, outcome, self._parts.registry.age_s())
 
-    async def _until_deadline(self, exchange: Exchange) -> Problem | None:
+    async def _attempt_until_deadline(self, exchange: Exchange) -> Problem | None:
         """Make attempts until the answer is complete, no attempt is left or the deadline passes.
 
         Returns:
@@ -134,7 +136,7 @@
             return giving_up.at_deadline(exchange.route, exchange.attempts())
 
     async def _make_attempts(self, exchange: Exchange) -> Problem | None:
-        """Try one endpoint after another; see _until_deadline for what is returned."""
+        """Try one endpoint after another; see _attempt_until_deadline for what is returned."""
         route, progress = exchange.route, exchange.progress
         while True:
             left_out = progress.tried | progress.avoided
@@ -167,14 +169,14 @@
           connected to.
         """
         if choice is None:
-            return self._without_endpoint(exchange)
+            return self._no_endpoint_problem(exchange)
         entry = choice.state.entry
         if not await self._parts.rates.gate.acquire_permit(exchange, entry):
             return None
         with self._parts.rates.gate.hold_permit(exchange, entry):
             return await self._send_permitted(exchange, choice)
 
-    def _without_endpoint(self, exchange: Exchange) -> Problem:
+    def _no_endpoint_problem(self, exchange: Exchange) -> Problem:
         """Return why a request for which no endpoint was selected is given up."""
         route, attempts = exchange.route, exchange.attempts()
         exchange.progress.obstacles = self._parts.registry.obstacles(exchange.demand.service)
@@ -188,7 +190,7 @@
 
     async def _send_permitted(self, exchange: Exchange, choice: Choice) -> End | Problem | None:
         """Send the request to an endpoint that permits it; see _send for what is returned."""
-        with self._retry(exchange) as may_send:
+        with self._budgeted_send(exchange) as may_send:
             if not may_send:
                 return giving_up.without_endpoint(exchange.route, exchange.attempts())
             connection = await self._connect(exchange, choice.state)
@@ -207,7 +209,7 @@
         return end
 
     @contextlib.contextmanager
-    def _retry(self, exchange: Exchange) -> Iterator[bool]:
+    def _budgeted_send(self, exchange: Exchange) -> Iterator[bool]:
         """Yield whether the request may be sent; refund the retry if the block sends nothing."""
         sends = exchange.progress.sends
         may_send = self._may_send(exchange)
@@ -256,7 +258,7 @@
         exchange.progress.chosen.append(chosen)
         self._parts.registry.sends(choice.state)
         try:
-            count_run = partial(self._parts.usage.began, exchange.admitted)
+            count_run = partial(self._parts.usage.count_run, exchange.admitted)
             with self._parts.loads.attempt(choice, exchange.demand, count_run) as load:
                 exchange.progress.load = load
                 on_answer_head = partial(
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
@@ -13,7 +13,7 @@
 
 from springbridge_node.gateway.peers.statement_changes_log import ANSWER, log_leaving
 from springbridge_node.gateway.peers.statement_sharing import StatementSharing
-from springbridge_node.gateway.requests.request_codec import Verdict
+from springbridge_node.gateway.requests.request_codec import AnswerMetadata
 from springbridge_node.gateway.requests.statement_log import StatementLog
 
 
@@ -36,7 +36,7 @@
         self._clock = clock
 
     def record(
-        self, entry: EndpointEntry, request_id: str, verdict: Verdict, sent_s: float
+        self, entry: EndpointEntry, request_id: str, metadata: AnswerMetadata, sent_s: float
     ) -> None:
         """Record the statements in the head of an answer.
 
@@ -45,9 +45,9 @@
           request_id: Id of the answered request, for the log.
           sent_s: When the request was sent, on the monotonic clock.
         """
-        if verdict.other_endpoint:
+        if metadata.other_endpoint:
             return
-        statements = verdict.statements
+        statements = metadata.statements
         self._log.not_understood(entry, statements)
         self._record_rate(entry, statements.rate, sent_s)
         if statements.leaves:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/usage_meter.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/usage_meter.py
@@ -8,18 +8,18 @@
 class UsageMeter(Protocol):
     """Counts requests and runs; the calls do not block."""
 
-    def sent(self, admitted: Admitted) -> None:
+    def count_admitted(self, admitted: Admitted) -> None:
         """Count the work of an admitted request, before it is sent to any endpoint."""
 
-    def began(self, admitted: Admitted) -> None:
+    def count_run(self, admitted: Admitted) -> None:
         """Count a run of a request that an endpoint has started."""
 
 
-class NoUsage:
+class NullUsageMeter:
     """Counts nothing; used by instances that report no usage."""
 
-    def sent(self, admitted: Admitted) -> None:
+    def count_admitted(self, admitted: Admitted) -> None:
         """Ignore a request."""
 
-    def began(self, admitted: Admitted) -> None:
+    def count_run(self, admitted: Admitted) -> None:
         """Ignore a run."""
--- a/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
@@ -88,7 +88,7 @@
     Mutant(
         "rest: it is no failure",
         f"{NODE}/gateway/requests/attempt.py",
-        "return End.TURNED_AWAY if verdict.statements.rest_s is None else End.ASKED_REST",
+        "return End.TURNED_AWAY if metadata.statements.rest_s is None else End.ASKED_REST",
         "return End.TURNED_AWAY",
         f"{REST}::test_a_wish_for_rest_is_no_failure_and_takes_nothing_from_others",
     ),
--- a/packages/springbridge-standins/springbridge_standins/rates/endpoints.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/endpoints.py
@@ -7,7 +7,7 @@
 from springbridge.rates.statements import StatedRate
 from springbridge.routing.records import EndpointEntry
 from springbridge.statements.answer_statements import AnswerStatements
-from springbridge_node.gateway.requests.request_codec import Verdict
+from springbridge_node.gateway.requests.request_codec import AnswerMetadata
 
 from springbridge_standins.rates.rate_record import Arrival, Named, RateRecord
 from springbridge_standins.rates.statement_record import Request, StatementRecord
@@ -39,7 +39,7 @@
         """Name a rate from now on, or none."""
         self.record.named.append(Named(asyncio.get_running_loop().time(), per_s))
 
-    async def answer(self, request: Request) -> Verdict:
+    async def answer(self, request: Request) -> AnswerMetadata:
         """Take a request and return what the head of its answer says."""
         loop = asyncio.get_running_loop()
         self.record.arrivals.append(Arrival(loop.time(), request.is_excused))
@@ -49,7 +49,7 @@
             self.said.asked_rest(request, loop.time(), rest_s)
             await asyncio.sleep(REFUSAL_S)
             rate = StatedRate(self.record.answered(loop.time()))
-            return Verdict("", True, False, AnswerStatements(rate, self.leaves, rest_s))
+            return AnswerMetadata("", True, False, AnswerStatements(rate, self.leaves, rest_s))
         await asyncio.sleep(LEAST_WORK_S + self.rng.random() * MOST_WORK_S)
         rate = StatedRate(self.record.answered(loop.time()))
-        return Verdict("", False, False, AnswerStatements(rate, self.leaves))
+        return AnswerMetadata("", False, False, AnswerStatements(rate, self.leaves))
--- a/packages/springbridge-standins/springbridge_standins/rates/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/fleet.py
@@ -154,11 +154,11 @@
         self.sent[endpoint.entry.endpoint_id] += 1
         sent_s = loop.time()
         request = Request(self.member.incarnation, began_s, self.fleet.is_excused(self.address))
-        verdict = await endpoint.answer(request)
+        metadata = await endpoint.answer(request)
         await self._thawed()
         self.sent[endpoint.entry.endpoint_id] -= 1
-        self.parts.watch.record(endpoint.entry, "", verdict, sent_s)
-        if verdict.statements.leaves:
+        self.parts.watch.record(endpoint.entry, "", metadata, sent_s)
+        if metadata.statements.leaves:
             endpoint.said.passed_on(self.member.incarnation, loop.time())
 
 
