--- a/packages/springbridge-node/springbridge_node/gateway/callers/answer.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/answer.py
@@ -1,7 +1,7 @@
 """Writes the answer to one request to the caller, piece by piece.
 
 Owns the caller's connection from the request to the end of its answer. Every answer ends in one of
-three ways: finish(), refuse() or break_off().
+three ways: finish(), refuse() or abort().
 """
 
 import orjson
@@ -41,7 +41,7 @@
         """
         self.started = True
         line = ResponseStartLine("HTTP/1.1", status, reason or responses.get(status, "Unknown"))
-        await _sent(self._connection.write_headers(line, headers, piece or None))
+        await _await_write(self._connection.write_headers(line, headers, piece or None))
 
     async def write(self, piece: bytes) -> None:
         """Send a piece of the body and wait until it is written to the socket.
@@ -50,14 +50,14 @@
           CallerGoneError: The caller has closed its connection.
         """
         if piece:
-            await _sent(self._connection.write(piece))
+            await _await_write(self._connection.write(piece))
 
     def finish(self) -> None:
         """End a complete answer."""
         self.ended = True
         self._connection.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close the connection, so that the caller sees that the answer is incomplete."""
         self.ended = True
         self._connection.close()
@@ -78,7 +78,7 @@
         self.finish()
 
 
-async def _sent(write) -> None:
+async def _await_write(write) -> None:
     """Wait for a write; raise CallerGoneError if the connection is closed."""
     try:
         await write
--- a/packages/springbridge-node/springbridge_node/gateway/callers/directory.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/directory.py
@@ -2,7 +2,7 @@
 
 Decided: the addresses in an answer of the directory.
 Inputs: the live instances, the caller's failure domain, the host that it wants to reach.
-Outcome: at most MOST_ADDRESSES, those of the caller's own failure domain first. In a larger fleet
+Outcome: at most MAX_ADDRESSES, those of the caller's own failure domain first. In a larger fleet
 every instance returns the same addresses for a host, and others for another host.
 Why: callers close connections to addresses that a new answer lacks, so answers must not depend on
 the instance that gives them; a choice by host spreads the load of all hosts over all instances.
@@ -12,7 +12,7 @@
 from springbridge.membership import Membership
 
 # Maximum number of addresses in an answer.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 
 class AddressBook:
@@ -43,4 +43,4 @@
             ),
         )
         addresses = dict.fromkeys(member.caller_address for member in members)
-        return list(addresses)[:MOST_ADDRESSES]
+        return list(addresses)[:MAX_ADDRESSES]
--- a/packages/springbridge-node/springbridge_node/gateway/callers/directory_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/directory_test.py
@@ -7,7 +7,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, HasLength
 
-from springbridge_node.gateway.callers.directory import MOST_ADDRESSES, AddressBook
+from springbridge_node.gateway.callers.directory import MAX_ADDRESSES, AddressBook
 
 FAILURE_DOMAINS = ("perth-a", "perth-b", "perth-c")
 HOSTS = ("desk.example", "council.example", "airport.example", "transit.example")
@@ -27,20 +27,21 @@
     return AddressBook(membership, 1.0)
 
 
-@pytest.mark.parametrize("count", [1, 7, MOST_ADDRESSES])
-def test_a_fleet_that_fits_is_told_whole(count):
-    told = book_of(count).addresses_for("perth-a", "desk.example")
-    assert_that(set(told), HasLength(count))
+@pytest.mark.parametrize("count", [1, 7, MAX_ADDRESSES])
+def test_a_small_fleet_is_returned_completely(count):
+    addresses = book_of(count).addresses_for("perth-a", "desk.example")
+    assert_that(set(addresses), HasLength(count))
 
 
-def test_a_large_fleet_is_told_in_part_the_nodes_of_the_caller_s_place_first():
-    told = book_of(300).addresses_for("perth-b", "desk.example")
-    assert_that(told, HasLength(MOST_ADDRESSES))
-    domains = {FAILURE_DOMAINS[int(address.split(".")[2]) % 3] for address in told}
+def test_of_a_large_fleet_only_instances_of_the_caller_s_domain_are_returned():
+    addresses = book_of(300).addresses_for("perth-b", "desk.example")
+    assert_that(addresses, HasLength(MAX_ADDRESSES))
+    domains = {FAILURE_DOMAINS[int(address.split(".")[2]) % 3] for address in addresses}
     assert_that(domains, Equals({"perth-b"}))
 
 
-def test_all_nodes_tell_the_same_so_that_callers_keep_their_connections():
+# Callers close connections to addresses that a new answer lacks, so answers must agree.
+def test_all_instances_return_the_same_addresses():
     answers = {
         tuple(sorted(book_of(300, me).addresses_for("perth-a", "desk.example")))
         for me in (0, 1, 150, 299)
@@ -48,7 +49,7 @@
     assert_that(answers, HasLength(1))
 
 
-def test_callers_of_different_hosts_are_told_of_different_nodes():
+def test_callers_of_different_hosts_get_different_instances():
     book = book_of(300)
-    told = {address for host in HOSTS for address in book.addresses_for("perth-a", host)}
-    assert_that(len(told), GreaterThan(90))
+    addresses = {address for host in HOSTS for address in book.addresses_for("perth-a", host)}
+    assert_that(len(addresses), GreaterThan(90))
--- a/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
+++ b/packages/springbridge-node/springbridge_node/gateway/callers/ingress.py
@@ -98,13 +98,13 @@
         """Return the reader of the next request on a connection; called by tornado."""
         return _RequestReader(self, request_conn)
 
-    def begin(self, request: IncomingRequest, connection: HTTP1Connection) -> None:
+    def start_task(self, request: IncomingRequest, connection: HTTP1Connection) -> None:
         """Serve a request that was read completely, in its own task."""
         answer = CallerAnswer(connection)
         task = asyncio.ensure_future(self._serve_guarded(request, answer))
         self.in_progress.add(task)
         task.add_done_callback(self.in_progress.discard)
-        connection.set_close_callback(lambda: _caller_left(answer, task))
+        connection.set_close_callback(lambda: _cancel_unanswered(answer, task))
 
     async def _serve_guarded(self, request: IncomingRequest, answer: CallerAnswer) -> None:
         """Serve a request; abort its answer if serving fails to end it."""
@@ -117,10 +117,10 @@
             logs.fault(exc, "serve")
         finally:
             if not answer.ended:
-                answer.break_off()
+                answer.abort()
 
 
-def _caller_left(answer: CallerAnswer, task: asyncio.Task) -> None:
+def _cancel_unanswered(answer: CallerAnswer, task: asyncio.Task) -> None:
     """Cancel the task of a request whose caller closed the connection before its answer ended."""
     if not answer.ended:
         task.cancel()
@@ -156,7 +156,7 @@
             b"".join(self._pieces),
             self._arrived_s,
         )
-        self._listener.begin(request, self._connection)
+        self._listener.start_task(request, self._connection)
 
     def on_connection_close(self) -> None:
         """Drop a request whose caller closed the connection before it was complete."""
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation.py
@@ -17,11 +17,11 @@
 
 # Seconds that a request whose attempt broke waits for the result, some round trips: a refusal comes
 # within one, and a longer silence shows nothing.
-REFUSAL_S = 0.05
+REFUSAL_TIMEOUT_S = 0.05
 # Seconds for which the result holds for the other requests that broke with the endpoint. Limits the
 # extra connections to an endpoint that resets many: one a second from each instance. Less than the
 # time after which another endpoint may have the address.
-RESULT_KEPT_S = 1.0
+RESULT_TTL_S = 1.0
 
 
 class CrashConfirmation:
@@ -32,12 +32,12 @@
         self._pool = pool
         self._results: dict[EndpointIncarnation, asyncio.Task[bool]] = {}
 
-    async def has_crashed(self, state: EndpointState, late: Callable[[], None]) -> bool:
+    async def has_crashed(self, state: EndpointState, on_late_crash: Callable[[], None]) -> bool:
         """Return whether an endpoint has crashed; one that is leaving or not listed never counts.
 
         Args:
-          late: Called if a crash is confirmed only after REFUSAL_S, as on an instance that is short
-            of processor time.
+          on_late_crash: Called if a crash is confirmed only after REFUSAL_TIMEOUT_S, as on an
+            instance that is short of processor time.
         """
         if state.is_leaving or not state.is_listed:
             return False
@@ -48,10 +48,10 @@
             self._results[incarnation] = task
             task.add_done_callback(lambda _: self._forget_later(incarnation))
         # asyncio.wait does not cancel the task when one of the requests that wait for it is.
-        done, _ = await asyncio.wait({task}, timeout=REFUSAL_S)
+        done, _ = await asyncio.wait({task}, timeout=REFUSAL_TIMEOUT_S)
         if done:
             return task.result()
-        task.add_done_callback(lambda found: late() if _has_ended(found) else None)
+        task.add_done_callback(lambda finished: on_late_crash() if _found_crash(finished) else None)
         return False
 
     async def _refuses(self, state: EndpointState) -> bool:
@@ -66,11 +66,11 @@
         return False
 
     def _forget_later(self, incarnation: EndpointIncarnation) -> None:
-        """Drop a result after RESULT_KEPT_S."""
+        """Drop a result after RESULT_TTL_S."""
         loop = asyncio.get_running_loop()
-        loop.call_later(RESULT_KEPT_S, self._results.pop, incarnation, None)
+        loop.call_later(RESULT_TTL_S, self._results.pop, incarnation, None)
 
 
-def _has_ended(found: asyncio.Task[bool]) -> bool:
+def _found_crash(finished: asyncio.Task[bool]) -> bool:
     """Return the result of a finished connection attempt; a cancelled one confirms no crash."""
-    return not found.cancelled() and found.result()
+    return not finished.cancelled() and finished.result()
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation_test.py
@@ -10,12 +10,15 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
 
-from springbridge_node.gateway.endpoints.crash_confirmation import REFUSAL_S, CrashConfirmation
+from springbridge_node.gateway.endpoints.crash_confirmation import (
+    REFUSAL_TIMEOUT_S,
+    CrashConfirmation,
+)
 from springbridge_node.gateway.endpoints.pool import ConnectionPool
 from springbridge_node.gateway.http.http_connection import ConnectFailedError
 
 
-def no_news():
+def no_late_crash():
     """Fail if a late crash is reported."""
     raise AssertionError
 
@@ -40,56 +43,58 @@
     return play
 
 
-def test_an_endpoint_that_refuses_connections_has_ended(run):
+def test_an_endpoint_that_refuses_connections_has_crashed(run):
     async def body(engine, state, confirmation):
         engine.stop()
-        assert_that(await confirmation.has_crashed(state, no_news), Is(True))
+        assert_that(await confirmation.has_crashed(state, no_late_crash), Is(True))
 
     run(body)
 
 
-def test_one_that_takes_a_connection_only_broke_one(run):
+def test_an_endpoint_that_accepts_a_connection_has_not_crashed(run):
     async def body(engine, state, confirmation):
-        assert_that(await confirmation.has_crashed(state, no_news), Is(False))
+        assert_that(await confirmation.has_crashed(state, no_late_crash), Is(False))
 
     run(body)
 
 
-def test_the_requests_that_broke_with_it_share_one_connection(run):
+def test_requests_that_broke_together_share_one_connection_attempt(run):
     async def body(engine, state, confirmation):
-        found = await asyncio.gather(*(confirmation.has_crashed(state, no_news) for _ in range(20)))
+        found = await asyncio.gather(
+            *(confirmation.has_crashed(state, no_late_crash) for _ in range(20))
+        )
         assert_that((set(found), engine.connections), Equals(({False}, 1)))
 
     run(body)
 
 
-def test_one_that_was_about_to_leave_or_has_left_the_list_did_not_crash(run):
+def test_a_draining_or_unlisted_endpoint_does_not_count_as_crashed(run):
     async def body(engine, state, confirmation):
         engine.stop()
         draining = EndpointState(replace(state.entry, draining=True))
-        assert_that(await confirmation.has_crashed(draining, no_news), Is(False))
+        assert_that(await confirmation.has_crashed(draining, no_late_crash), Is(False))
         state.usable_until_s = 0.0
-        assert_that(await confirmation.has_crashed(state, no_news), Is(False))
+        assert_that(await confirmation.has_crashed(state, no_late_crash), Is(False))
 
     run(body)
 
 
-def test_one_that_cannot_be_reached_may_live(run, monkeypatch):
+def test_an_unreachable_endpoint_does_not_count_as_crashed(run, monkeypatch):
     async def body(engine, state, confirmation):
         # The connection is neither accepted nor refused, as behind a network partition.
         async def hangs(entry):
             await asyncio.sleep(10)
 
         monkeypatch.setattr(confirmation._pool, "warm", hangs)
-        assert_that(await confirmation.has_crashed(state, no_news), Is(False))
+        assert_that(await confirmation.has_crashed(state, no_late_crash), Is(False))
 
     run(body)
 
 
-def test_an_end_that_is_found_late_is_told(run, monkeypatch):
+def test_a_crash_confirmed_late_is_reported(run, monkeypatch):
     async def body(engine, state, confirmation):
         async def refused_late(entry):
-            await asyncio.sleep(2 * REFUSAL_S)
+            await asyncio.sleep(2 * REFUSAL_TIMEOUT_S)
             raise ConnectFailedError("ConnectionRefusedError", refused=True)
 
         monkeypatch.setattr(confirmation._pool, "warm", refused_late)
@@ -101,12 +106,12 @@
     run(body)
 
 
-def test_a_node_without_descriptors_learns_nothing_and_goes_on(run, monkeypatch):
+def test_without_file_descriptors_no_crash_is_confirmed(run, monkeypatch):
     async def body(engine, state, confirmation):
         async def no_descriptor(entry):
             raise OSError(24, "too many open files")
 
         monkeypatch.setattr(confirmation._pool, "warm", no_descriptor)
-        assert_that(await confirmation.has_crashed(state, no_news), Is(False))
+        assert_that(await confirmation.has_crashed(state, no_late_crash), Is(False))
 
     run(body)
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/pool.py
@@ -59,13 +59,13 @@
     is not reused after the endpoint has restarted or its address has gone to another endpoint.
     """
 
-    def __init__(self, nodes: Callable[[], int]) -> None:
+    def __init__(self, instances: Callable[[], int]) -> None:
         """Start without connections.
 
         Args:
-          nodes: Returns how many instances share an endpoint's connections.
+          instances: Returns how many instances share an endpoint's connections.
         """
-        self._nodes = nodes
+        self._instances = instances
         self._idle: dict[EndpointIncarnation, list[HttpConnection]] = {}
         self._open: dict[EndpointIncarnation, int] = {}
 
@@ -86,10 +86,10 @@
         idle = self._idle.get(incarnation, [])
         while idle:
             conn = idle.pop()
-            if conn.can_carry(limit.max_s, limit.keep_alive_share):
+            if conn.can_reuse(limit.max_s, limit.keep_alive_share):
                 return conn
             self.discard(incarnation, conn)
-        if self._open.get(incarnation, 0) >= connection_cap(service, self._nodes()):
+        if self._open.get(incarnation, 0) >= connection_cap(service, self._instances()):
             raise EndpointBusyError(entry.endpoint_id)
         return await self._connect(entry)
 
@@ -146,7 +146,7 @@
             self._open.pop(incarnation, None)
 
 
-def connection_cap(service: Service, nodes: int) -> int:
+def connection_cap(service: Service, instances: int) -> int:
     """Return how many connections one instance may have to an endpoint.
 
     All instances together may use USED_SHARE of what an endpoint accepts, in equal parts, because
@@ -154,6 +154,6 @@
     have MIN_CONNECTIONS.
 
     Args:
-      nodes: Number of live instances, this one included.
+      instances: Number of live instances, this one included.
     """
-    return max(MIN_CONNECTIONS, int(service.max_connections * USED_SHARE / max(1, nodes)))
+    return max(MIN_CONNECTIONS, int(service.max_connections * USED_SHARE / max(1, instances)))
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/pool_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/pool_test.py
@@ -14,13 +14,13 @@
 
 
 @pytest.mark.parametrize(
-    ("nodes", "connections"), [(1, 288), (7, 41), (71, 4), (300, MIN_CONNECTIONS)]
+    ("instances", "connections"), [(1, 288), (7, 41), (71, 4), (300, MIN_CONNECTIONS)]
 )
-def test_nodes_share_four_fifths_of_what_an_endpoint_takes(nodes, connections):
+def test_instances_share_four_fifths_of_an_endpoint_s_connections(instances, connections):
     service = Service("model", max_connections=360)
-    assert_that(connection_cap(service, nodes), Equals(connections))
+    assert_that(connection_cap(service, instances), Equals(connections))
 
 
-def test_what_may_not_be_repeated_needs_a_fresher_connection():
+def test_an_unrepeatable_request_needs_a_fresher_connection():
     assert_that(UNREPEATABLE_IDLE.max_s, LessThan(REPEATABLE_IDLE.max_s))
     assert_that(UNREPEATABLE_IDLE.keep_alive_share, LessThan(REPEATABLE_IDLE.keep_alive_share))
--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/prober.py
@@ -25,10 +25,10 @@
     async def step(self) -> None:
         """Probe every unreachable endpoint once."""
         await asyncio.gather(
-            *(self._try(state) for state in self._registry.unreachable_endpoints())
+            *(self._probe(state) for state in self._registry.unreachable_endpoints())
         )
 
-    async def _try(self, state: EndpointState) -> None:
+    async def _probe(self, state: EndpointState) -> None:
         """Probe one endpoint, and mark it as reached if the connection is established."""
         try:
             await self._pool.warm(state.entry)
--- a/packages/springbridge-node/springbridge_node/gateway/http/calls.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/calls.py
@@ -21,10 +21,10 @@
 CONNECT_TIMEOUT_S = 0.6
 # Seconds for which an idle connection is reused if the other side sends no keep-alive time. A call
 # on a connection that was closed meanwhile fails.
-LONGEST_IDLE_S = 5.0
+MAX_IDLE_S = 5.0
 # Share of the keep-alive time sent by the other side for which an idle connection is reused. The
 # rest lets the next request arrive before the other side closes the connection.
-SHARE_OF_KEEP = 0.7
+KEEP_ALIVE_SHARE = 0.7
 
 
 class CallFailedError(Exception):
@@ -104,7 +104,7 @@
         """Return an idle connection that may be reused, or a new one."""
         while self._idle:
             connection = self._idle.pop()
-            if connection.can_carry(LONGEST_IDLE_S, SHARE_OF_KEEP):
+            if connection.can_reuse(MAX_IDLE_S, KEEP_ALIVE_SHARE):
                 return connection
             connection.abort()
         return await connect(self._address, CONNECT_TIMEOUT_S)
--- a/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
@@ -25,9 +25,9 @@
 READ_BYTES = 1 << 18
 # Maximum size of the head of an answer. Bounds the memory that a faulty endpoint can take. Four
 # times the default limit for callers' headers.
-LARGEST_HEAD_BYTES = 64 << 10
+MAX_HEAD_BYTES = 64 << 10
 # Maximum length of the line that holds the length of a chunk, extensions included.
-LARGEST_CHUNK_LINE_BYTES = 256
+MAX_CHUNK_LINE_BYTES = 256
 # Idle seconds before the kernel sends TCP keep-alive probes. They detect a host that lost power,
 # which sends no reset, while a request waits for its answer.
 KEEPALIVE_IDLE_S = 1
@@ -65,7 +65,7 @@
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
-    _notice_dead_peers(sock)
+    _enable_dead_host_detection(sock)
     stream = IOStream(sock)
     try:
         async with asyncio.timeout(timeout_s):
@@ -81,7 +81,7 @@
     return HttpConnection(stream)
 
 
-def _notice_dead_peers(sock: socket.socket) -> None:
+def _enable_dead_host_detection(sock: socket.socket) -> None:
     """Set the socket options that break the connection if the other host stops responding."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -96,7 +96,7 @@
 
     Attributes:
       idle_since_s: When it was opened or its last answer ended, on the monotonic clock.
-      keep_s: Keep-alive time that the other side sent, in seconds, or None if it sent none.
+      keep_alive_s: Keep-alive time that the other side sent, in seconds, or None if it sent none.
     """
 
     def __init__(self, stream: IOStream) -> None:
@@ -106,7 +106,7 @@
         self._sent: asyncio.Future | None = None
         self._may_be_kept = True
         self.idle_since_s = clock.now_s()
-        self.keep_s: float | None = None
+        self.keep_alive_s: float | None = None
 
     def abort(self) -> None:
         """Close at once, which makes the other side stop work on the request."""
@@ -119,7 +119,7 @@
         if self._stream.closed():
             return
         self._sent = asyncio.ensure_future(self._stream.write(head + body))
-        self._sent.add_done_callback(_retrieve)
+        self._sent.add_done_callback(_retrieve_exception)
 
     async def read_head(self) -> Head:
         """Read the head of the next final answer; interim (1xx) answers are skipped.
@@ -128,7 +128,7 @@
           AnswerBrokenError: The connection ended, or what arrived is not an HTTP answer.
         """
         while True:
-            raw = await self._read_until(b"\r\n\r\n", LARGEST_HEAD_BYTES)
+            raw = await self._read_until(b"\r\n\r\n", MAX_HEAD_BYTES)
             head = parse_head(raw)
             if head.status >= 200:
                 return head
@@ -150,26 +150,26 @@
                 yield piece
         self._end_answer(head)
 
-    def can_carry(self, longest_idle_s: float, share_of_keep: float) -> bool:
+    def can_reuse(self, max_idle_s: float, keep_alive_share: float) -> bool:
         """Return whether an idle connection may carry another request.
 
         Args:
-          longest_idle_s: Maximum idle time in seconds if the other side sent no keep-alive time.
-          share_of_keep: Maximum idle time as a share of the keep-alive time that it sent.
+          max_idle_s: Maximum idle time in seconds if the other side sent no keep-alive time.
+          keep_alive_share: Maximum idle time as a share of the keep-alive time that it sent.
         """
         if not self._may_be_kept or self._unread or self._stream.closed():
             return False
-        limit_s = longest_idle_s if self.keep_s is None else self.keep_s * share_of_keep
+        limit_s = max_idle_s if self.keep_alive_s is None else self.keep_alive_s * keep_alive_share
         if clock.now_s() - self.idle_since_s > limit_s:
             return False
-        return self._is_silent()
+        return self._received_nothing()
 
     @property
     def may_be_kept(self) -> bool:
         """Return whether the last answer left the connection fit for another request."""
         return self._may_be_kept and not self._unread and not self._stream.closed()
 
-    def _is_silent(self) -> bool:
+    def _received_nothing(self) -> bool:
         """Return whether nothing arrived while the connection was idle: no byte, end or reset."""
         try:
             self._stream.socket.recv(1, socket.MSG_PEEK)
@@ -184,12 +184,12 @@
     def _end_answer(self, head: Head) -> None:
         """Record the end of a complete answer and whether the connection may be reused."""
         self.idle_since_s = clock.now_s()
-        self.keep_s = keep_alive_s(head.headers)
+        self.keep_alive_s = keep_alive_s(head.headers)
         whole_request_sent = self._sent is None or self._sent.done()
         closes = head.headers.get("Connection", "").lower() == "close"
         self._may_be_kept = whole_request_sent and not closes and not head.unframed
 
-    async def _fill(self) -> None:
+    async def _receive(self) -> None:
         """Wait for more bytes and append them to the unread ones.
 
         Raises:
@@ -215,13 +215,13 @@
                 return raw
             if len(self._unread) > limit:
                 raise AnswerBrokenError(f"delimiter not found in {limit} bytes")
-            await self._fill()
+            await self._receive()
 
     async def _read_length(self, length: int) -> AsyncIterator[bytes]:
         """Yield pieces until they add up to a length in bytes."""
         while length:
             if not self._unread:
-                await self._fill()
+                await self._receive()
             piece = bytes(self._unread[:length])
             del self._unread[: len(piece)]
             length -= len(piece)
@@ -230,19 +230,19 @@
     async def _read_chunks(self) -> AsyncIterator[bytes]:
         """Yield the chunks of a chunked body."""
         while True:
-            line = await self._read_until(b"\r\n", LARGEST_CHUNK_LINE_BYTES)
+            line = await self._read_until(b"\r\n", MAX_CHUNK_LINE_BYTES)
             length = chunk_length(line)
             if length == 0:
                 await self._read_trailers()
                 return
             async for piece in self._read_length(length):
                 yield piece
-            if await self._read_until(b"\r\n", LARGEST_CHUNK_LINE_BYTES):
+            if await self._read_until(b"\r\n", MAX_CHUNK_LINE_BYTES):
                 raise AnswerBrokenError("chunk longer than its stated length")
 
     async def _read_trailers(self) -> None:
         """Skip the trailers after the last chunk."""
-        while await self._read_until(b"\r\n", LARGEST_HEAD_BYTES):
+        while await self._read_until(b"\r\n", MAX_HEAD_BYTES):
             pass
 
     async def _read_to_end(self) -> AsyncIterator[bytes]:
@@ -253,7 +253,7 @@
                 self._unread.clear()
                 yield piece
             try:
-                await self._fill()
+                await self._receive()
             except AnswerBrokenError:
                 if self._stream.error is not None:
                     raise
@@ -261,7 +261,7 @@
                 return
 
 
-def _retrieve(sent: asyncio.Future) -> None:
+def _retrieve_exception(sent: asyncio.Future) -> None:
     """Retrieve the exception of a write, so that asyncio does not report it as unretrieved.
 
     Nothing is lost: a connection whose write failed also fails when its answer is read.
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
@@ -179,7 +179,7 @@
         def record_crash() -> None:
             self._record_crash(exchange, state, on_trial)
 
-        has_crashed = await self._parts.confirmation.has_crashed(state, late=record_crash)
+        has_crashed = await self._parts.confirmation.has_crashed(state, on_late_crash=record_crash)
         if has_crashed:
             record_crash()
         return has_crashed
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
@@ -1,4 +1,4 @@
-"""Tests of quarantine_gate.py with stood-in peers: what is asked, told and kept, and when."""
+"""Tests of quarantine_gate.py with stand-in peers: trials requested, crashes shared and stored."""
 
 import asyncio
 from types import SimpleNamespace
@@ -22,7 +22,7 @@
 
 
 class Peers:
-    """Stands in for what the gate tells and asks others, and keeps what it was told."""
+    """Stand-in for all parts that the gate calls; records the calls."""
 
     def __init__(self):
         self.answer = GRANTED
@@ -30,26 +30,26 @@
         self.asked, self.ended, self.stored, self.told = [], [], [], []
 
     async def ask(self, fingerprint, trial, service, endpoint_id, left_s):
-        """Answer as the coordinator would."""
+        """Answer a request for a trial as the coordinator would."""
         self.asked.append(trial)
         if self.hangs:
             await asyncio.sleep(60)
         return self.answer
 
     def end(self, fingerprint, trial, service):
-        """Take in the end of a trial."""
+        """Record the end of a trial."""
         self.ended.append(trial)
 
     def spread(self, fingerprint, service, was_known=False):
-        """Take in what is told to the peers."""
+        """Record a fingerprint that is shared with peers."""
         self.told.append(fingerprint)
 
     def entered(self, fingerprint):
-        """Take in what the store has to keep."""
+        """Record a fingerprint that the store has to keep."""
         self.stored.append(fingerprint)
 
-    async def has_crashed(self, state, late):
-        """Confirm the end of the endpoint."""
+    async def has_crashed(self, state, on_late_crash):
+        """Confirm the crash of the endpoint."""
         return True
 
     def crashed(self, exchange, endpoint_id, found, on_trial):
@@ -80,7 +80,7 @@
 
 @pytest.fixture
 def exchange():
-    """Return a request with that fingerprint."""
+    """Return a request with the fingerprint of the suspect."""
     route = Route(
         "r", "h", "/", (WeightedService("model", 1),), False, True, False, target_s=TARGET_S
     )
@@ -105,7 +105,7 @@
     return EndpointState(EndpointEntry(name, "model", "10.0.0.1:1", "a", 4, False))
 
 
-def test_a_caller_that_leaves_while_a_trial_is_asked_for_gives_it_back(gate, peers, exchange):
+def test_a_caller_that_disconnects_while_a_trial_is_requested_ends_it(gate, peers, exchange):
     async def body():
         peers.hangs = True
         asking = asyncio.ensure_future(gate.check(exchange, choice_of("i-1")))
@@ -129,10 +129,8 @@
     assert_that(peers.ended, Equals(peers.asked))
 
 
-def test_a_failed_trial_is_kept_also_if_it_was_in_quarantine_already(
-    gate, peers, records, exchange
-):
-    # Another request failed the same trial, and its good end made this one the cause.
+def test_a_failed_trial_is_stored_even_if_already_in_quarantine(gate, peers, records, exchange):
+    # Another request failed the same trial; its acquittal leaves this one as the cause.
     for crash in (1, 2):
         records.note_crash("page", crash)
     for name in (NAME, "page"):
@@ -147,7 +145,9 @@
     assert_that(peers.stored, Equals([NAME]))
 
 
-def test_what_is_refused_is_not_asked_for_again_until_its_trial(gate, peers, exchange):
+def test_a_quarantined_request_is_refused_without_asking_until_its_next_trial(
+    gate, peers, exchange
+):
     peers.answer = Permission(Answer.QUARANTINED, wait_s=20.0)
 
     async def body():
@@ -158,7 +158,7 @@
     assert_that(len(peers.asked), Equals(1))
 
 
-def test_a_suspect_waits_no_longer_than_its_route_aims_at(gate, peers, exchange):
+def test_a_suspect_waits_no_longer_than_the_target_of_its_route(gate, peers, exchange):
     peers.answer = Permission(Answer.WAIT)
 
     async def body():
@@ -170,11 +170,11 @@
 
     problem, took_s = asyncio.run(body())
     assert_that(problem.retry_after_s, Not(Is(None)))
-    # One look beyond the target, and room for a busy machine.
+    # One poll interval beyond the target, and a margin for a busy machine.
     assert_that(TARGET_S < took_s < TARGET_S + 2.0, Is(True))
 
 
-def test_who_is_acquitted_while_it_avoids_endpoints_selects_among_all(
+def test_a_request_acquitted_while_it_avoids_endpoints_selects_among_all(
     gate, peers, records, exchange
 ):
     exchange.progress.avoided.add("i-1")
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
@@ -1,6 +1,6 @@
-"""Tests of what instances tell each other of rates, and of the permits that they ask for.
+"""Tests of rate limits shared between instances, and of the permits that they request.
 
-The real parts run in drawn fleets, in virtual time; the endpoints and the network are stand-ins.
+The real parts run in random fleets in virtual time; the endpoints and the network are stand-ins.
 """
 
 import asyncio
@@ -17,19 +17,19 @@
 from springbridge_node.gateway.peers.statement_sharing import NEWS_S
 from springbridge_node.gateway.requests.rate_gate import MAX_PERMIT_WAIT_S
 
-# Seconds within which every instance has to know of a rate.
+# Seconds within which every instance has to know a rate.
 KNOWN_S = 0.5
 
 
 async def name_rate(fleet, per_s):
-    """Let the first endpoint name a rate in an answer to the first instance."""
+    """Make the first endpoint state a rate in an answer to the first instance."""
     fleet.endpoints[0].name(per_s)
     fleet.instances[0].serve()
     while all(not len(each.parts.table) for each in fleet.instances):
         await asyncio.sleep(0.01)
 
 
-def knowing(fleet):
+def count_knowing(fleet):
     return sum(len(each.parts.table) == 1 for each in fleet.instances)
 
 
@@ -65,21 +65,21 @@
     async def body(fleet):
         await name_rate(fleet, 2.0)
         await asyncio.sleep(KNOWN_S)
-        assert_that(knowing(fleet), Equals(size))
+        assert_that(count_knowing(fleet), Equals(size))
         fleet.endpoints[0].name(None)
-        while knowing(fleet) == size:
+        while count_knowing(fleet) == size:
             fleet.instances[0].serve()
             await asyncio.sleep(0.05)
         await asyncio.sleep(KNOWN_S)
-        assert_that(knowing(fleet), Equals(0))
+        assert_that(count_knowing(fleet), Equals(0))
 
     with_instances(body, size, loss=loss)
 
 
-def test_an_instance_that_starts_is_told_of_the_rates(with_instances):
+def test_an_instance_that_starts_learns_the_rates(with_instances):
     async def body(fleet):
         await name_rate(fleet, 2.0)
-        # Until only the granter tells of it.
+        # After this time only the granter still shares it.
         await asyncio.sleep(NEWS_S + 1.0)
         started = next(n for n in range(87) if n != granter_of(fleet))
         fleet.restart(started, 0.5)
@@ -89,7 +89,7 @@
     with_instances(body, 87)
 
 
-def test_another_figure_reaches_the_granter(with_instances):
+def test_a_changed_rate_reaches_the_granter(with_instances):
     async def body(fleet):
         await name_rate(fleet, 2.0)
         await asyncio.sleep(KNOWN_S)
@@ -152,7 +152,7 @@
     with_instances(body, 8)
 
 
-def test_a_node_of_an_older_build_is_no_granter(with_instances):
+def test_an_instance_of_an_older_build_is_no_granter(with_instances):
     async def body(fleet):
         old = granter_of(fleet)
         older = replace(fleet.instances[old].member, heartbeat=FIRST_HEARTBEAT_WITH_LOOKUPS + 9)
@@ -166,7 +166,7 @@
     with_instances(body, 8)
 
 
-def test_a_node_that_has_just_started_grants_to_peers_but_not_to_itself(with_instances):
+def test_an_instance_that_has_just_started_grants_to_peers_but_not_to_itself(with_instances):
     async def body(fleet):
         await name_rate(fleet, 200.0)
         await asyncio.sleep(KNOWN_S)
@@ -185,7 +185,7 @@
 
 
 async def granted_by(asker, per_s, seconds):
-    """Return how many permits an instance gets that asks four times as often as they come up."""
+    """Return how many permits an instance gets that asks at four times the rate."""
     got = 0
     for _ in range(round(4 * per_s * seconds)):
         got += (await ask(asker))[0]
@@ -193,7 +193,7 @@
     return got
 
 
-def test_a_node_that_is_no_granter_by_its_own_view_grants_little(with_instances):
+def test_an_instance_that_is_no_granter_by_its_own_view_grants_little(with_instances):
     async def body(fleet):
         await name_rate(fleet, 20.0)
         await asyncio.sleep(KNOWN_S)
@@ -226,8 +226,8 @@
     with_instances(body, 8)
 
 
-# Guards against requests that ask for the same endpoint for ever, which stops the whole node.
-def test_an_endpoint_that_was_asked_for_in_vain_is_held_back_whatever_became_of_it(with_instances):
+# Guards against a request that selects the same endpoint for ever, which stops the whole instance.
+def test_an_endpoint_that_denied_a_permit_is_held_back_even_without_its_rate(with_instances):
     async def body(fleet):
         await name_rate(fleet, 1.0)
         await asyncio.sleep(KNOWN_S)
@@ -248,7 +248,7 @@
         await name_rate(fleet, 1.0)
         await asyncio.sleep(KNOWN_S)
         asker = fleet.instances[(granter_of(fleet) + 1) % 8]
-        # The granter counts from the first question on.
+        # The granter counts from the first request for a permit on.
         await ask(asker)
         await asyncio.sleep(3.0)
         entry = fleet.endpoints[0].entry
--- a/packages/springbridge-node/springbridge_node/gateway/requests/router.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/router.py
@@ -292,7 +292,7 @@
         answer, failure = exchange.answer, exchange.progress.failure
         match giving_up.final_answer(problem, answer.started, failure is not None):
             case FinalAnswer.CUT_OFF:
-                answer.break_off()
+                answer.abort()
             case FinalAnswer.HELD_FAILURE:
                 await relay_failure(exchange, failure, self._parts.codec)
             case FinalAnswer.REFUSAL:
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_log.py
@@ -14,10 +14,10 @@
 
 # Logged values and header names that are remembered, so that each is logged once for each endpoint.
 # Bounds the memory and the log.
-MOST_LOGGED = 100
+MAX_LOGGED_VALUES = 100
 # Unknown headers that are counted under their own names; further ones are counted together. Bounds
 # the labels of the metric.
-MOST_COUNTED = 30
+MAX_COUNTED_HEADERS = 30
 OTHERS = "others"
 
 
@@ -48,11 +48,11 @@
             left_ms=round(left_s * 1000),
         )
 
-    def not_understood(self, entry: EndpointEntry, said: AnswerStatements) -> None:
+    def not_understood(self, entry: EndpointEntry, statements: AnswerStatements) -> None:
         """Log each statement that is ignored or interpreted as a different value, once."""
-        if not is_literal(said.rate):
-            self._rate_not_literal(entry, said.rate)
-        for each in said.unreadable:
+        if not is_literal(statements.rate):
+            self._rate_not_literal(entry, statements.rate)
+        for each in statements.unreadable:
             if self._is_new(entry, each.header, each.value):
                 logs.event(
                     "engine.statement_unreadable",
@@ -60,7 +60,7 @@
                     header=each.header,
                     value=each.value,
                 )
-        for name in said.unknown:
+        for name in statements.unknown:
             self._count_unknown(name)
             if self._is_new(entry, name, ""):
                 logs.event("engine.unknown_header", engine=entry.endpoint_id, header=name)
@@ -77,7 +77,7 @@
 
     def _count_unknown(self, name: str) -> None:
         """Count an unknown header, by its name while there are few, else among the others."""
-        if name not in self._counted and len(self._counted) >= MOST_COUNTED:
+        if name not in self._counted and len(self._counted) >= MAX_COUNTED_HEADERS:
             name = OTHERS
         self._counted.add(name)
         self._telemetry.unknown_headers.labels(name).inc()
@@ -88,7 +88,7 @@
         Returns False if it was logged before or the bound is reached.
         """
         seen = (entry.endpoint_id, header, value)
-        if seen in self._logged or len(self._logged) >= MOST_LOGGED:
+        if seen in self._logged or len(self._logged) >= MAX_LOGGED_VALUES:
             return False
         self._logged.add(seen)
         return True
