--- a/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/endpoints/crash_confirmation_test.py
@@ -98,10 +98,10 @@
             raise ConnectFailedError("ConnectionRefusedError", refused=True)
 
         monkeypatch.setattr(confirmation._pool, "warm", refused_late)
-        told = asyncio.Event()
-        assert_that(await confirmation.has_crashed(state, told.set), Is(False))
+        reported = asyncio.Event()
+        assert_that(await confirmation.has_crashed(state, reported.set), Is(False))
         async with asyncio.timeout(5.0):
-            await told.wait()
+            await reported.wait()
 
     run(body)
 
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate_test.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self.answer = GRANTED
         self.hangs = False
-        self.asked, self.ended, self.stored, self.told = [], [], [], []
+        self.asked, self.ended, self.stored, self.shared = [], [], [], []
 
     async def ask(self, fingerprint, trial, service, endpoint_id, left_s):
         """Answer a request for a trial as the coordinator would."""
@@ -42,7 +42,7 @@
 
     def spread(self, fingerprint, service, was_known=False):
         """Record a fingerprint that is shared with peers."""
-        self.told.append(fingerprint)
+        self.shared.append(fingerprint)
 
     def entered(self, fingerprint):
         """Record a fingerprint that the store has to keep."""
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_parts.py
@@ -78,7 +78,7 @@
         verdicts = (self._quarantine.verdict(each.fingerprint) for each in self._records.all())
         return sum(found.standing is Standing.QUARANTINED for found in verdicts)
 
-    def _adopt(self, told: ToldRecord) -> None:
+    def _adopt(self, record: ToldRecord) -> None:
         """Merge a record read from the store and share it with peers."""
-        self._records.merge(told)
-        self.sharing.spread(told.fingerprint, "", was_known=True)
+        self._records.merge(record)
+        self.sharing.spread(record.fingerprint, "", was_known=True)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -27,7 +27,7 @@
 
     Attributes:
       result: Name of the result code, or one of the outcomes below; a label of the metrics.
-      reason: What caused the result, "" where the result says it all.
+      reason: What caused the result, "" where the result is sufficient.
     """
 
     result: str
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
@@ -1,7 +1,7 @@
 """Records what endpoints state about themselves in the heads of their answers.
 
-A statement is a rate limit, a request for rest or the announcement that the endpoint leaves. Any
-answer may carry one, whatever its status.
+A statement is a rate limit, a request for rest (for no requests during some seconds) or the
+announcement that the endpoint leaves. Any answer may carry one, whatever its status.
 """
 
 from collections.abc import Callable
