--- a/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/duty_parts.py
@@ -79,11 +79,11 @@
             tasks.append(every(STEP_INTERVAL_S, self.scaler.step, START_DELAY_S))
         return tuple(tasks)
 
-    def sent(self, admitted: Admitted) -> None:
+    def count_admitted(self, admitted: Admitted) -> None:
         """Count the work of a request that is sent to endpoints."""
         self.sharing.count_work(admitted)
 
-    def began(self, admitted: Admitted) -> None:
+    def count_run(self, admitted: Admitted) -> None:
         """Count a request that an endpoint began, if it names a customer."""
         if admitted.customer:
             self.sharing.count_request(admitted.customer)
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -57,7 +57,7 @@
 from springbridge_node.gateway.requests.rest_refusals import RestRefusals
 from springbridge_node.gateway.requests.router import RequestRouter, RouterParts
 from springbridge_node.gateway.requests.selection_parts import SelectionParts
-from springbridge_node.gateway.requests.usage_meter import NoUsage
+from springbridge_node.gateway.requests.usage_meter import NullUsageMeter
 from springbridge_node.gateway.telemetry import Telemetry
 from springbridge_node.periodic import every, every_tick
 
@@ -111,7 +111,7 @@
         )
         self.peer_client = PeerClient(self.membership, lambda: list(self.settings.other_seeds))
         self.evacuations = EvacuationSharing(
-            self.membership, self.registry, on_change=self.rates.look_for_cold
+            self.membership, self.registry, on_change=self.rates.update_cold_limits
         )
         self.configuration = self._configuration_follower()
         self.duties = duty_parts(
@@ -176,7 +176,7 @@
         """Return the dependencies of the router."""
         return RouterParts(
             index=lambda: self.configuration.index,
-            configuration_due_s=self.configuration.retry_after_s,
+            configuration_retry_after_s=self.configuration.retry_after_s,
             registry=self.registry,
             pool=self.pool,
             budget=self.budget,
@@ -186,7 +186,7 @@
             loads=self.selection_parts.loads,
             gate=self.quarantine_parts.gate,
             failure_domain=self.settings.failure_domain,
-            usage=self.duties or NoUsage(),
+            usage=self.duties or NullUsageMeter(),
             rates=self.rates,
             rest_refusals=RestRefusals(self.registry, self.telemetry),
         )
--- a/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
+++ b/packages/springbridge-node/springbridge_node/gateway/http/http_connection.py
@@ -1,9 +1,9 @@
-"""One outgoing HTTP/1.1 connection that can be kept, checked while idle, and aborted at once.
+"""An outgoing HTTP/1.1 connection that is reusable, checked while idle, and can be aborted.
 
 tornado's own HTTP client opens a connection for each request and cannot abort one in flight, so
-this is built on its IOStream. It adds three things: the caller sees the head first, and can match
-the answer to its request before it reads the body; bytes behind a whole answer are noticed; and an
-answer without a length counts as whole only if the connection ended without a reset.
+this is built on its IOStream. It adds three things: the head is returned first, so that the answer
+can be matched to its request before the body is read; unexpected bytes after an answer are
+detected; and an answer without a length is complete only if the connection ended without a reset.
 """
 
 import asyncio
@@ -21,31 +21,31 @@
     parse_head,
 )
 
-# Most bytes taken from the socket in one read.
+# Maximum bytes taken from the socket in one read.
 READ_BYTES = 1 << 18
-# Largest head of an answer, in bytes. It bounds the memory that a faulty endpoint can take. Four
-# times what callers may send as headers by default.
-LARGEST_HEAD_BYTES = 64 << 10
-# Longest line with the length of a chunk, extensions included, in bytes.
-LARGEST_CHUNK_LINE_BYTES = 256
-# Idle seconds before the kernel probes the other side. It has to notice a host that lost power,
+# Maximum size of the head of an answer. Bounds the memory that a faulty endpoint can take. Four
+# times the default limit for callers' headers.
+MAX_HEAD_BYTES = 64 << 10
+# Maximum length of the line that holds the length of a chunk, extensions included.
+MAX_CHUNK_LINE_BYTES = 256
+# Idle seconds before the kernel sends TCP keep-alive probes. They detect a host that lost power,
 # which sends no reset, while a request waits for its answer.
 KEEPALIVE_IDLE_S = 1
 # Seconds between two probes.
 KEEPALIVE_INTERVAL_S = 1
-# Unanswered probes after which the connection is broken. Derived: a silent host is noticed after
-# about 3 s, where the kernel's default takes two hours.
+# Unanswered probes after which the connection is broken. Derived: a dead host is detected after
+# about 3 s, while the kernel's default takes two hours.
 KEEPALIVE_PROBES = 2
 # Milliseconds after which sent but unacknowledged bytes break the connection. A little below the 3
-# s of the probes, which the kernel does not send while bytes are outstanding.
+# s of the probes, which the kernel does not send while bytes are unacknowledged.
 UNACKNOWLEDGED_MS = 2500
 
 
 class ConnectFailedError(Exception):
-    """The connection did not come up, so nothing was sent.
+    """The connection was not established, so nothing was sent.
 
     Attributes:
-      refused: Whether the host answered that nobody listens there: the process has ended.
+      refused: Whether the host refused it because no process listens there: the process has ended.
     """
 
     def __init__(self, detail: str, refused: bool = False):
@@ -60,12 +60,12 @@
       address: IP number and port.
 
     Raises:
-      ConnectFailedError: It was refused, or did not come up in time.
+      ConnectFailedError: It was refused, or not established in time.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
-    _notice_dead_peers(sock)
+    _enable_dead_host_detection(sock)
     stream = IOStream(sock)
     try:
         async with asyncio.timeout(timeout_s):
@@ -81,8 +81,8 @@
     return HttpConnection(stream)
 
 
-def _notice_dead_peers(sock: socket.socket) -> None:
-    """Let the kernel break the connection if the other host falls silent."""
+def _enable_dead_host_detection(sock: socket.socket) -> None:
+    """Set the socket options that break the connection if the other host stops responding."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -96,7 +96,7 @@
 
     Attributes:
       idle_since_s: When it was opened or its last answer ended, on the monotonic clock.
-      keep_s: How long the other side keeps it open while idle, or None if it did not say.
+      keep_alive_s: Keep-alive time that the other side sent, in seconds, or None if it sent none.
     """
 
     def __init__(self, stream: IOStream) -> None:
@@ -106,10 +106,10 @@
         self._sent: asyncio.Future | None = None
         self._may_be_kept = True
         self.idle_since_s = clock.now_s()
-        self.keep_s: float | None = None
+        self.keep_alive_s: float | None = None
 
     def abort(self) -> None:
-        """Close at once, which tells the other side to stop work on the request."""
+        """Close at once, which makes the other side stop work on the request."""
         self._may_be_kept = False
         self._stream.close()
 
@@ -119,16 +119,16 @@
         if self._stream.closed():
             return
         self._sent = asyncio.ensure_future(self._stream.write(head + body))
-        self._sent.add_done_callback(_retrieve)
+        self._sent.add_done_callback(_retrieve_exception)
 
     async def read_head(self) -> Head:
         """Read the head of the next final answer; interim (1xx) answers are skipped.
 
         Raises:
-          AnswerBrokenError: The connection ended, or what came is not an answer.
+          AnswerBrokenError: The connection ended, or what arrived is not an HTTP answer.
         """
         while True:
-            raw = await self._read_until(b"\r\n\r\n", LARGEST_HEAD_BYTES)
+            raw = await self._read_until(b"\r\n\r\n", MAX_HEAD_BYTES)
             head = parse_head(raw)
             if head.status >= 200:
                 return head
@@ -150,31 +150,31 @@
                 yield piece
         self._end_answer(head)
 
-    def can_carry(self, longest_idle_s: float, share_of_keep: float) -> bool:
+    def can_reuse(self, max_idle_s: float, keep_alive_share: float) -> bool:
         """Return whether an idle connection may carry another request.
 
         Args:
-          longest_idle_s: Longest idle time if the other side did not say how long it keeps it.
-          share_of_keep: Largest part of the keep-alive time named by the other side.
+          max_idle_s: Maximum idle time in seconds if the other side sent no keep-alive time.
+          keep_alive_share: Maximum idle time as a share of the keep-alive time that it sent.
         """
         if not self._may_be_kept or self._unread or self._stream.closed():
             return False
-        limit_s = longest_idle_s if self.keep_s is None else self.keep_s * share_of_keep
+        limit_s = max_idle_s if self.keep_alive_s is None else self.keep_alive_s * keep_alive_share
         if clock.now_s() - self.idle_since_s > limit_s:
             return False
-        return self._is_silent()
+        return self._received_nothing()
 
     @property
     def may_be_kept(self) -> bool:
         """Return whether the last answer left the connection fit for another request."""
         return self._may_be_kept and not self._unread and not self._stream.closed()
 
-    def _is_silent(self) -> bool:
+    def _received_nothing(self) -> bool:
         """Return whether nothing arrived while the connection was idle: no byte, end or reset."""
         try:
             self._stream.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
-            # There is nothing to read, which is what an idle connection should say.
+            # There is nothing to read, as expected of an idle connection.
             return True
         except OSError:
             # The connection is broken; the caller closes it and opens another.
@@ -182,15 +182,19 @@
         return False
 
     def _end_answer(self, head: Head) -> None:
-        """Note the end of a whole answer and whether the connection may be used again."""
+        """Record the end of a complete answer and whether the connection may be reused."""
         self.idle_since_s = clock.now_s()
-        self.keep_s = keep_alive_s(head.headers)
+        self.keep_alive_s = keep_alive_s(head.headers)
         whole_request_sent = self._sent is None or self._sent.done()
         closes = head.headers.get("Connection", "").lower() == "close"
         self._may_be_kept = whole_request_sent and not closes and not head.unframed
 
-    async def _fill(self) -> None:
-        """Wait for more bytes and add them to those that are unread."""
+    async def _receive(self) -> None:
+        """Wait for more bytes and append them to the unread ones.
+
+        Raises:
+          AnswerBrokenError: The connection ended.
+        """
         try:
             self._unread += await self._stream.read_bytes(READ_BYTES, partial=True)
         except StreamClosedError as exc:
@@ -201,7 +205,7 @@
         """Return the bytes up to a delimiter, without it.
 
         Args:
-          limit: Most bytes to read in search of it.
+          limit: Number of unread bytes without the delimiter beyond which reading fails.
         """
         while True:
             end = self._unread.find(delimiter)
@@ -210,14 +214,14 @@
                 del self._unread[: end + len(delimiter)]
                 return raw
             if len(self._unread) > limit:
-                raise AnswerBrokenError("no end of line")
-            await self._fill()
+                raise AnswerBrokenError(f"delimiter not found in {limit} bytes")
+            await self._receive()
 
     async def _read_length(self, length: int) -> AsyncIterator[bytes]:
-        """Yield pieces that are together as long as the body."""
+        """Yield pieces until they add up to a length in bytes."""
         while length:
             if not self._unread:
-                await self._fill()
+                await self._receive()
             piece = bytes(self._unread[:length])
             del self._unread[: len(piece)]
             length -= len(piece)
@@ -226,30 +230,30 @@
     async def _read_chunks(self) -> AsyncIterator[bytes]:
         """Yield the chunks of a chunked body."""
         while True:
-            line = await self._read_until(b"\r\n", LARGEST_CHUNK_LINE_BYTES)
+            line = await self._read_until(b"\r\n", MAX_CHUNK_LINE_BYTES)
             length = chunk_length(line)
             if length == 0:
                 await self._read_trailers()
                 return
             async for piece in self._read_length(length):
                 yield piece
-            if await self._read_until(b"\r\n", LARGEST_CHUNK_LINE_BYTES):
-                raise AnswerBrokenError("chunk longer than it says")
+            if await self._read_until(b"\r\n", MAX_CHUNK_LINE_BYTES):
+                raise AnswerBrokenError("chunk longer than its stated length")
 
     async def _read_trailers(self) -> None:
-        """Skip the headers behind the last chunk."""
-        while await self._read_until(b"\r\n", LARGEST_HEAD_BYTES):
+        """Skip the trailers after the last chunk."""
+        while await self._read_until(b"\r\n", MAX_HEAD_BYTES):
             pass
 
     async def _read_to_end(self) -> AsyncIterator[bytes]:
-        """Yield bytes until the other side closes; a reset breaks the answer."""
+        """Yield bytes until the other side closes the connection; a reset breaks the answer."""
         while True:
             if self._unread:
                 piece = bytes(self._unread)
                 self._unread.clear()
                 yield piece
             try:
-                await self._fill()
+                await self._receive()
             except AnswerBrokenError:
                 if self._stream.error is not None:
                     raise
@@ -257,8 +261,8 @@
                 return
 
 
-def _retrieve(sent: asyncio.Future) -> None:
-    """Fetch the exception of a write, so that asyncio does not report it as never retrieved.
+def _retrieve_exception(sent: asyncio.Future) -> None:
+    """Retrieve the exception of a write, so that asyncio does not report it as unretrieved.
 
     Nothing is lost: a connection whose write failed also fails when its answer is read.
     """
--- a/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/attempt.py
@@ -1,4 +1,7 @@
-"""One attempt: sends a request to an endpoint and takes the answer to the caller."""
+"""One attempt: sends a request to an endpoint and relays the answer to the caller.
+
+A failure that another endpoint may do better is held back instead of relayed.
+"""
 
 from collections.abc import Callable
 
@@ -10,13 +13,13 @@
 from springbridge_node.gateway.http.http_connection import HttpConnection
 from springbridge_node.gateway.http.http_head import AnswerBrokenError, Head
 from springbridge_node.gateway.requests.endpoint_answer import (
-    SilentError,
+    AnswerTimeoutError,
     read_head_within,
-    read_whole,
+    read_whole_body,
 )
 from springbridge_node.gateway.requests.exchange import Exchange, HeldFailure
 from springbridge_node.gateway.requests.relay import relay
-from springbridge_node.gateway.requests.request_codec import RequestCodec, Verdict
+from springbridge_node.gateway.requests.request_codec import AnswerMetadata, RequestCodec
 
 
 async def make_attempt(
@@ -24,16 +27,17 @@
     choice: Choice,
     connection: HttpConnection,
     codec: RequestCodec,
-    heard: Callable[[Verdict, float], None],
+    on_answer_head: Callable[[AnswerMetadata, float], None],
 ) -> AttemptOutcome:
-    """Send a request to the chosen endpoint, pass its answer on, and return how that ended.
+    """Send a request to the chosen endpoint, relay its answer, and return how that ended.
 
     Args:
-      heard: Called with what the head of the answer says, and with when the request was sent.
+      on_answer_head: Called with the metadata in the head of the answer and the time when the
+        request was sent, on the clock of `clock.now_s`.
 
     Raises:
-      TimeoutError: Too little time is left; nothing was sent.
-      CallerGoneError: The caller is gone.
+      TimeoutError: Too little time is left before the deadline; nothing was sent.
+      CallerGoneError: The caller has closed its connection.
     """
     ran_before = exchange.progress.may_have_run
     sent_s = clock.now_s()
@@ -41,15 +45,15 @@
     silence_s = retries.silence_timeout_s(exchange.route, exchange.attempts(), left_s)
     try:
         head = await read_head_within(silence_s, connection, codec, exchange.request_id)
-        verdict = codec.verdict(head)
-        heard(verdict, sent_s)
-        if verdict.not_run:
+        metadata = codec.answer_metadata(head)
+        on_answer_head(metadata, sent_s)
+        if metadata.not_run:
             exchange.progress.may_have_run = ran_before
-            return await _turned_away(exchange, connection, head, verdict)
-        return await _take_answer(exchange, connection, head, verdict, codec)
+            return await _read_refusal(exchange, connection, head, metadata)
+        return await _relay_or_hold_back(exchange, connection, head, metadata, codec)
     except AnswerBrokenError:
         return AttemptOutcome.BROKEN
-    except SilentError:
+    except AnswerTimeoutError:
         return AttemptOutcome.SILENT
 
 
@@ -62,7 +66,7 @@
     the endpoint time to close it, and a request that may not run twice would be lost on it.
 
     Raises:
-      TimeoutError: Too little time is left; nothing was sent.
+      TimeoutError: Too little time is left before the deadline; nothing was sent.
     """
     entry, progress = choice.state.entry, exchange.progress
     left_s = exchange.admitted.deadline_s - clock.now_s()
@@ -79,36 +83,36 @@
     return left_s
 
 
-async def _turned_away(
-    exchange: Exchange, connection: HttpConnection, head: Head, verdict: Verdict
+async def _read_refusal(
+    exchange: Exchange, connection: HttpConnection, head: Head, metadata: AnswerMetadata
 ) -> AttemptOutcome:
-    """Read the answer of an endpoint that promises not to have run the request."""
-    await read_whole(connection, head)
-    if verdict.other_endpoint:
+    """Read the answer of an endpoint that guarantees that it has not run the request."""
+    await read_whole_body(connection, head)
+    if metadata.other_endpoint:
         exchange.progress.misdirected += 1
         return AttemptOutcome.OTHER_ENDPOINT
     return (
         AttemptOutcome.TURNED_AWAY
-        if verdict.statements.rest_s is None
+        if metadata.statements.rest_s is None
         else AttemptOutcome.ASKED_REST
     )
 
 
-async def _take_answer(
+async def _relay_or_hold_back(
     exchange: Exchange,
     connection: HttpConnection,
     head: Head,
-    verdict: Verdict,
+    metadata: AnswerMetadata,
     codec: RequestCodec,
 ) -> AttemptOutcome:
-    """Pass an answer on, or hold back a failure that another endpoint may do better."""
+    """Relay an answer, or hold back a failure so that another endpoint can be tried."""
     if not exchange.route.streaming and exchange.progress.load is not None:
         exchange.progress.load.prompt_read()
     if giving_up.holds_failure(exchange.route, head.status):
-        exchange.progress.failure = HeldFailure(head, await read_whole(connection, head))
+        exchange.progress.failure = HeldFailure(head, await read_whole_body(connection, head))
         return (
             AttemptOutcome.ENDPOINT_ERROR
-            if verdict.statements.rest_s is None
+            if metadata.statements.rest_s is None
             else AttemptOutcome.ASKED_REST
         )
     await relay(exchange, connection, head, codec)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_gate.py
@@ -1,8 +1,9 @@
-"""Keeps requests from endpoints whose rate is spent.
+"""Keeps requests away from endpoints whose rate limit is exhausted.
 
-An endpoint that names a rate gets a request only with a permit of its granter (rate_permits.py).
-While no endpoint names one, a request costs one comparison here. A request that gets no permit goes
-to another endpoint, without a retry taken from the budget and without a failure counted.
+An endpoint may state a rate limit in its answers. It then gets a request only with a permit of its
+granter, the instance that grants the permits of that endpoint (rate_permits.py). While no endpoint
+states a limit, a request costs one comparison here. A request that gets no permit goes to another
+endpoint, without using the retry budget and without counting a failure.
 """
 
 import contextlib
@@ -19,20 +20,20 @@
 from springbridge_node.gateway.requests.exchange import Exchange
 from springbridge_node.gateway.requests.rate_gate_log import RateGateLog
 
-# Longest time in seconds that one request spends on asking granters, some round trips. Its caller
-# waits meanwhile.
-LONGEST_ASKING_S = 0.04
+# Seconds that one request may wait for granters in total, some round trips. Its caller waits
+# meanwhile.
+MAX_PERMIT_WAIT_S = 0.04
 # Seconds for which an endpoint is held back whose granter did not answer in that time, or could not
-# be asked. After that the substitute is asked.
-NOT_ANSWERED_S = 0.1
+# be asked. After that the substitute granter is asked.
+HOLD_UNANSWERED_S = 0.1
 
 
 @dataclass(frozen=True)
 class RateGateParts:
-    """The parts that a RateGate asks.
+    """Dependencies of a RateGate.
 
     Attributes:
-      clock: Returns the moment in seconds.
+      clock: Returns the current time in seconds.
     """
 
     table: RateTable
@@ -43,7 +44,7 @@
 
 
 class RateGate:
-    """Asks before each attempt at an endpoint that names a rate."""
+    """Acquires a permit before each attempt at an endpoint that states a rate limit."""
 
     def __init__(self, parts: RateGateParts) -> None:
         """Keep the parts."""
@@ -51,10 +52,10 @@
         self._held = HeldBack(parts.clock)
 
     def held_back(self, exchange: Exchange) -> set[str]:
-        """Return the endpoints that a request must not go to now.
+        """Return the ids of the endpoints that a request must not go to now.
 
-        Those that it asked for in vain are among them, whatever became of their rates: it would
-        look for an endpoint for ever where it finds the same one each time.
+        Endpoints that denied it a permit are included even if their limit has ended since:
+        otherwise selection could return the same endpoint for ever.
         """
         table = self._parts.table
         if not len(table):
@@ -62,37 +63,41 @@
         held = self._held.ids(exchange.demand.priority)
         return exchange.progress.held_back | {each for each in held if table.is_limited(each)}
 
-    async def may_send(self, exchange: Exchange, entry: EndpointEntry) -> bool:
-        """Return whether a request may be sent to an endpoint; if not, it is held back."""
+    async def acquire_permit(self, exchange: Exchange, entry: EndpointEntry) -> bool:
+        """Acquire a permit if the endpoint has a limit; if denied, hold the endpoint back.
+
+        Returns:
+          Whether the request may be sent to the endpoint.
+        """
         if self._parts.table.per_s(entry.incarnation) is None:
             return True
-        if await self._ask(exchange, entry):
+        if await self._request_permit(exchange, entry):
             return True
         exchange.progress.held_back.add(entry.endpoint_id)
         return False
 
-    async def _ask(self, exchange: Exchange, entry: EndpointEntry) -> bool:
-        """Ask for a permit, and return whether there is one."""
+    async def _request_permit(self, exchange: Exchange, entry: EndpointEntry) -> bool:
+        """Ask the granter for a permit, and return whether it was granted."""
         parts, progress = self._parts, exchange.progress
         priority = exchange.demand.priority
-        left_s = LONGEST_ASKING_S - progress.permit_wait_s
+        left_s = MAX_PERMIT_WAIT_S - progress.permit_wait_s
         if left_s <= 0.0:
-            self._held.hold(entry.endpoint_id, priority, NOT_ANSWERED_S)
+            self._held.hold(entry.endpoint_id, priority, HOLD_UNANSWERED_S)
             return False
-        began_s = parts.clock()
+        started_s = parts.clock()
         grant = await parts.permits.request(entry, priority, left_s)
-        progress.permit_wait_s += parts.clock() - began_s
-        parts.log.asked(exchange, entry, grant)
+        progress.permit_wait_s += parts.clock() - started_s
+        parts.log.permit_answered(exchange, entry, grant)
         if grant is None:
-            self._held.hold(entry.endpoint_id, 0, NOT_ANSWERED_S)
+            self._held.hold(entry.endpoint_id, 0, HOLD_UNANSWERED_S)
             return False
         if not grant.granted:
             self._held.hold(entry.endpoint_id, priority, grant.wait_s)
         return grant.granted
 
     @contextlib.contextmanager
-    def permit(self, exchange: Exchange, entry: EndpointEntry) -> Iterator[None]:
-        """Give the permit back if the block sends nothing."""
+    def hold_permit(self, exchange: Exchange, entry: EndpointEntry) -> Iterator[None]:
+        """Hold the permit during the block, and give it back if the block sends nothing."""
         is_limited = self._parts.table.per_s(entry.incarnation) is not None
         sends = exchange.progress.sends
         exchange.progress.held_back.clear()
@@ -102,8 +107,8 @@
             if is_limited and exchange.progress.sends == sends:
                 self._parts.permits.give_back(entry)
 
-    def spent(self, exchange: Exchange) -> RatesExhausted | None:
-        """Return that endpoints which could serve a request have spent their rate, or None."""
+    def exhausted_rates(self, exchange: Exchange) -> RatesExhausted | None:
+        """Return the exhausted rate limits that keep a request from its endpoints, or None."""
         held = self.held_back(exchange)
         if not held:
             return None
@@ -122,6 +127,6 @@
         )
 
     def forget_old(self) -> None:
-        """Drop what is over."""
+        """Drop expired holds and the permits of endpoints that are gone."""
         self._held.forget_old()
         self._parts.permits.forget_gone()
--- a/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/request_log.py
@@ -1,6 +1,7 @@
-"""Logs and counts what is decided on requests: one line for each decision, never any content.
+"""Logs and counts decisions on requests: one line for each decision, never any content.
 
-Owns the fields of these log lines; operators' tools read them, so names and units stay.
+Owns the fields of these log lines. Operators' tools read them, so their names and units must not
+change.
 """
 
 from dataclasses import dataclass
@@ -15,30 +16,30 @@
 from springbridge_node.gateway.requests.request_fingerprint import fingerprint_of
 from springbridge_node.gateway.telemetry import Telemetry
 
-# Seconds. Bounds the logged age of the endpoint list, which is infinite before the first list and
-# would not be a number in JSON. Beyond any age that occurs.
-LONGEST_AGE_S = 1e6
+# Upper bound in seconds for the logged age of the endpoint list, which is infinite before the first
+# list and could not be written as a number in JSON. Above any age that occurs.
+MAX_LOGGED_AGE_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
-    """How a request ended.
+class RequestOutcome:
+    """How a request ended: the result code and its reason.
 
     Attributes:
-      result: Name of the result code, or one of the endings below; a label of the metrics.
-      reason: What decided that, "" where the result says all.
+      result: Name of the result code, or one of the outcomes below; a label of the metrics.
+      reason: What caused the result, "" where the result is sufficient.
     """
 
     result: str
     reason: str = ""
 
 
-SERVED = Ending("served")
-CALLER_LEFT = Ending("caller left")
+SERVED = RequestOutcome("served")
+CALLER_LEFT = RequestOutcome("caller left")
 
 
 class RequestLog:
-    """Writes what was decided on requests to the log and the metrics."""
+    """Writes decisions on requests to the log and the metrics."""
 
     def __init__(self, telemetry: Telemetry) -> None:
         """Keep the metrics."""
@@ -57,7 +58,7 @@
         )
 
     def attempt_failed(self, exchange: Exchange, endpoint_id: str, end: AttemptOutcome) -> None:
-        """Log an attempt that did not deliver an answer."""
+        """Log and count an attempt that did not deliver an answer."""
         self._telemetry.attempts.labels(end.value).inc()
         logs.event(
             "request.attempt_failed",
@@ -71,7 +72,7 @@
         )
 
     def endpoint_ejected(self, state: EndpointState, end: AttemptOutcome) -> None:
-        """Log that an endpoint was ejected after failures in a row."""
+        """Log that an endpoint was ejected after consecutive failures."""
         logs.event(
             "engine.rests",
             engine=state.entry.endpoint_id,
@@ -81,7 +82,7 @@
         )
 
     def unreachable(self, exchange: Exchange, endpoint_id: str, reason: str) -> None:
-        """Log an endpoint to which no connection came up; it gets no request until one does."""
+        """Log a failed connection to an endpoint, which gets no request until one succeeds."""
         self._telemetry.attempts.labels("unreachable").inc()
         logs.event(
             "engine.unreachable",
@@ -91,8 +92,8 @@
             after_ms=_age_ms(exchange),
         )
 
-    def ended(self, exchange: Exchange, ending: Ending, list_age_s: float) -> None:
-        """Log the end of a request, with what decided it.
+    def ended(self, exchange: Exchange, outcome: RequestOutcome, list_age_s: float) -> None:
+        """Log the end of a request, with its result and the endpoints it was sent to.
 
         Args:
           list_age_s: Age of the endpoint list in use, in seconds; infinite before the first.
@@ -103,7 +104,7 @@
             first_s = progress.first_piece_s - admitted.arrival.arrived_s
             first_ms = round(first_s * 1000)
             self._telemetry.first_piece.labels(admitted.route.name).observe(first_s)
-        self._telemetry.requests.labels(admitted.route.name, ending.result).inc()
+        self._telemetry.requests.labels(admitted.route.name, outcome.result).inc()
         logs.event(
             "request.ended",
             request_id=exchange.request_id,
@@ -111,12 +112,12 @@
             service=admitted.service.name,
             customer=admitted.customer,
             config_version=admitted.version,
-            list_age_ms=round(min(list_age_s, LONGEST_AGE_S) * 1000),
-            engines=[_log_row(chosen, exchange) for chosen in progress.chosen],
+            list_age_ms=round(min(list_age_s, MAX_LOGGED_AGE_S) * 1000),
+            engines=[_endpoint_fields(chosen, exchange) for chosen in progress.chosen],
             sends=progress.sends,
             fingerprint=progress.fingerprint,
-            result=ending.result,
-            reason=ending.reason,
+            result=outcome.result,
+            reason=outcome.reason,
             obstacles=progress.obstacles,
             first_ms=first_ms,
             pause_ms=round(progress.longest_pause_s * 1000),
@@ -124,7 +125,7 @@
         )
 
 
-def _log_row(chosen: ChosenEndpoint, exchange: Exchange) -> dict[str, object]:
+def _endpoint_fields(chosen: ChosenEndpoint, exchange: Exchange) -> dict[str, object]:
     """Return the log fields of an endpoint that a request was sent to."""
     return {
         "engine": chosen.endpoint,
--- a/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/statement_watch.py
@@ -1,4 +1,8 @@
-"""Takes in what endpoints say of themselves in the heads of their answers, of whatever kind."""
+"""Records what endpoints state about themselves in the heads of their answers.
+
+A statement is a rate limit, a request for rest (for no requests during some seconds) or the
+announcement that the endpoint leaves. Any answer may carry one, whatever its status.
+"""
 
 from collections.abc import Callable
 
@@ -9,12 +13,12 @@
 
 from springbridge_node.gateway.peers.statement_changes_log import ANSWER, log_leaving
 from springbridge_node.gateway.peers.statement_sharing import StatementSharing
-from springbridge_node.gateway.requests.request_codec import Verdict
+from springbridge_node.gateway.requests.request_codec import AnswerMetadata
 from springbridge_node.gateway.requests.statement_log import StatementLog
 
 
 class StatementWatch:
-    """Notes what answers say."""
+    """Records statements in the registry and the rate table, and shares them with peers."""
 
     def __init__(
         self,
@@ -31,38 +35,40 @@
         self._log = log
         self._clock = clock
 
-    def heard(self, entry: EndpointEntry, request_id: str, verdict: Verdict, sent_s: float) -> None:
-        """Note what the head of an answer says.
+    def record(
+        self, entry: EndpointEntry, request_id: str, metadata: AnswerMetadata, sent_s: float
+    ) -> None:
+        """Record the statements in the head of an answer.
 
         Args:
           entry: The endpoint that the request was sent to.
-          request_id: The request that it answers, for the log.
-          sent_s: When the request was sent.
+          request_id: Id of the answered request, for the log.
+          sent_s: When the request was sent, on the monotonic clock.
         """
-        if verdict.other_endpoint:
+        if metadata.other_endpoint:
             return
-        said = verdict.statements
-        self._log.not_understood(entry, said)
-        self._heard_rate(entry, said.rate, sent_s)
-        if said.leaves:
-            self._heard_leaving(entry, request_id)
-        if said.rest_s is None:
+        statements = metadata.statements
+        self._log.not_understood(entry, statements)
+        self._record_rate(entry, statements.rate, sent_s)
+        if statements.leaves:
+            self._record_leaving(entry, request_id)
+        if statements.rest_s is None:
             self._registry.statements.asked_no_rest(entry.incarnation, sent_s)
         else:
-            rest = self._registry.statements.asked_rest(entry.incarnation, said.rest_s)
-            self._sharing.on_rest(entry.incarnation, said.rest_s)
-            self._log.asks_rest(entry, request_id, said.rest_s, rest.until_s - self._clock())
+            rest = self._registry.statements.asked_rest(entry.incarnation, statements.rest_s)
+            self._sharing.on_rest(entry.incarnation, statements.rest_s)
+            self._log.asks_rest(entry, request_id, statements.rest_s, rest.until_s - self._clock())
 
-    def _heard_rate(self, entry: EndpointEntry, stated: StatedRate, sent_s: float) -> None:
-        """Note what an answer says of a rate."""
+    def _record_rate(self, entry: EndpointEntry, stated: StatedRate, sent_s: float) -> None:
+        """Record the rate limit that an answer states, or that it states none."""
         if stated == StatedRate() and not len(self._rates):
             return
         if is_readable(stated):
-            told = Statement(rate_of(stated), sent_s, self._clock())
-            self._sharing.on_statement(entry.incarnation, told)
+            statement = Statement(rate_of(stated), sent_s, self._clock())
+            self._sharing.on_statement(entry.incarnation, statement)
 
-    def _heard_leaving(self, entry: EndpointEntry, request_id: str) -> None:
-        """Note that an endpoint leaves."""
+    def _record_leaving(self, entry: EndpointEntry, request_id: str) -> None:
+        """Record that an endpoint leaves, and share it with peers if it is new."""
         if self._registry.mark_leaving(entry.incarnation):
             log_leaving(entry.endpoint_id, ANSWER, request_id)
             self._sharing.on_leaving(entry.incarnation)
--- a/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
@@ -89,7 +89,7 @@
         "rest: it is no failure",
         f"{NODE}/gateway/requests/attempt.py",
         "        AttemptOutcome.TURNED_AWAY\n"
-        "        if verdict.statements.rest_s is None\n"
+        "        if metadata.statements.rest_s is None\n"
         "        else AttemptOutcome.ASKED_REST\n",
         "        AttemptOutcome.TURNED_AWAY\n",
         f"{REST}::test_a_wish_for_rest_is_no_failure_and_takes_nothing_from_others",
