--- a/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/usage_reporter_test.py
@@ -94,7 +94,9 @@
     reporter.continue_from(takeover(kept(101, era=0), row_era=0, store_era=0))
     reporter.decide_content(0)
     reporter.on_renewed()
-    reporter.continue_from(takeover(b"", row_era=1, store_era=1, seen_s=16.0, exclusive_until_s=17.0))
+    reporter.continue_from(
+        takeover(b"", row_era=1, store_era=1, seen_s=16.0, exclusive_until_s=17.0)
+    )
     assert_that(next_window(reporter), Equals(103))
     assert_that(reporter.missed, Equals(0))
 
--- a/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/quarantine_gate.py
@@ -168,7 +168,9 @@
                     fingerprint_of(exchange), decision.trial, exchange.demand.service
                 )
 
-    async def record_end(self, exchange: Exchange, state: EndpointState, end: AttemptOutcome) -> bool:
+    async def record_end(
+        self, exchange: Exchange, state: EndpointState, end: AttemptOutcome
+    ) -> bool:
         """Record the outcome of an attempt for its request; return whether its endpoint crashed."""
         if end in SURVIVED_ENDS and len(self._records):
             self._acquit(exchange)
