--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -7,7 +7,7 @@
 
 import random
 
-from springbridge.classes.decisions import Ask, Grant
+from springbridge.classes.decisions import Grant, SlotRequest
 from springbridge.classes.entities import Share, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.limits import LimitOwner, NodeLimit
@@ -42,12 +42,12 @@
 
 
 def schedule(clock: Clock, scheduler_node: str) -> list[str]:
-    """Ask for three slots and return the asks that were granted at once."""
+    """Request three slots and return the ids of the requests that were granted at once."""
     scheduler = EndpointScheduler(scheduler_node, "engine-1", 10_000, clock, Invariants())
     granted = []
     for number in range(3):
-        ask = Ask(
-            ask_id=f"ask-{number}",
+        slot_request = SlotRequest(
+            slot_request_id=f"ask-{number}",
             node="alpha",
             endpoint="engine-1",
             request_class="questions",
@@ -63,8 +63,10 @@
             primary=True,
             preemptible=False,
         )
-        decisions = scheduler.ask(ask)
-        granted += [decision.ask_id for decision in decisions if isinstance(decision, Grant)]
+        decisions = scheduler.request_slot(slot_request)
+        granted += [
+            decision.slot_request_id for decision in decisions if isinstance(decision, Grant)
+        ]
     return granted
 
 
@@ -73,9 +75,9 @@
     limits, limit = LimitOwner(clock), NodeLimit(SHARE)
     admitted = 0
     for _ in range(count):
-        limit.want()
+        limit.count_demand()
         if not limit.try_start(clock()):
-            limit.take(limits.lease(limit.ask("alpha"), SHARE, nodes=1), clock(), nodes=1)
+            limit.take(limits.lease(limit.lease_request("alpha"), SHARE, nodes=1), clock(), nodes=1)
             if not limit.try_start(clock()):
                 continue
         admitted += 1
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -16,7 +16,7 @@
 
 from grpclib.server import Server
 from returns.result import Failure, Success
-from springbridge.classes.binding import Bindings
+from springbridge.classes.binding import RequestRecords
 from springbridge.classes.entities import EndpointKind
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import InstanceList, TableStore
@@ -125,7 +125,7 @@
         http = make_client()
         self.model_client = ModelClient(http)
         clients = {EndpointKind.MODEL: self.model_client, EndpointKind.SERVICE: ServiceClient(http)}
-        bindings = Bindings(self.clock, time.time, self.invariants)
+        bindings = RequestRecords(self.clock, time.time, self.invariants)
         self.answers = KeptAnswers(self.clock)
         self.load_reports = LoadReports(self.model_client, lambda: self.config.table)
         slots = slot_source(self.settings.policy, self.slots, self.load_reports)
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
@@ -1,13 +1,13 @@
 """The schedulers that run on this node: one for each endpoint that it owns by hash.
 
-Owns the schedulers and which endpoint an ask is for. The decisions are the library's
+Owns the schedulers and which endpoint a slot request is for. The decisions are the library's
 (springbridge.classes.slots.scheduler); this module carries messages to them and back.
 """
 
 from collections.abc import Callable
 from functools import singledispatchmethod
 
-from springbridge.classes.decisions import Ask, Decision, Hold, Inventory, Release, Sample
+from springbridge.classes.decisions import Decision, Hold, Inventory, Release, Sample, SlotRequest
 from springbridge.classes.entities import Table
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.slots.scheduler import EndpointScheduler
@@ -27,7 +27,7 @@
         table: Callable[[], Table],
         send: Callable[[str, Decision], None],
     ):
-        """Start with no scheduler; each is made at the first ask for its endpoint."""
+        """Start with no scheduler; each is made at the first slot request for its endpoint."""
         self._me = me
         self._clock = clock
         self._invariants = invariants
@@ -36,7 +36,7 @@
         self.schedulers: dict[str, EndpointScheduler] = {}
         self._endpoint_of: dict[str, str] = {}
 
-    def take(self, message: Ask | Hold | Inventory | Release | Sample) -> None:
+    def take(self, message: SlotRequest | Hold | Inventory | Release | Sample) -> None:
         """Take in a message from an entry node."""
         self._take(message)
 
@@ -45,18 +45,18 @@
         raise TypeError(f"unknown message {message!r}")
 
     @_take.register
-    def _(self, ask: Ask) -> None:
-        scheduler = self._scheduler(ask.endpoint)
+    def _(self, slot_request: SlotRequest) -> None:
+        scheduler = self._scheduler(slot_request.endpoint)
         if scheduler is not None:
-            self._endpoint_of[ask.ask_id] = ask.endpoint
-            self._carry(scheduler.ask(ask))
+            self._endpoint_of[slot_request.slot_request_id] = slot_request.endpoint
+            self._carry(scheduler.request_slot(slot_request))
 
     @_take.register
     def _(self, hold: Hold) -> None:
-        scheduler = self._scheduler(hold.ask.endpoint)
+        scheduler = self._scheduler(hold.slot_request.endpoint)
         if scheduler is not None:
-            self._endpoint_of[hold.ask.ask_id] = hold.ask.endpoint
-            scheduler.hold(hold.ask)
+            self._endpoint_of[hold.slot_request.slot_request_id] = hold.slot_request.endpoint
+            scheduler.hold(hold.slot_request)
 
     @_take.register
     def _(self, inventory: Inventory) -> None:
@@ -65,13 +65,13 @@
 
     @_take.register
     def _(self, release: Release) -> None:
-        scheduler = self.schedulers.get(self._endpoint_of.pop(release.ask_id, ""))
+        scheduler = self.schedulers.get(self._endpoint_of.pop(release.slot_request_id, ""))
         if scheduler is not None:
             self._carry(scheduler.release(release))
 
     @_take.register
     def _(self, sample: Sample) -> None:
-        scheduler = self.schedulers.get(self._endpoint_of.get(sample.ask_id, ""))
+        scheduler = self.schedulers.get(self._endpoint_of.get(sample.slot_request_id, ""))
         if scheduler is not None:
             scheduler.sample(sample)
 
@@ -81,7 +81,7 @@
             self._carry(scheduler.tick())
 
     def drop_nodes(self, gone: Callable[[str], bool]) -> None:
-        """Forget the asks and slots of entry nodes that are gone."""
+        """Forget the slot requests and slots of entry nodes that are gone."""
         for scheduler in self.schedulers.values():
             for node in scheduler.nodes():
                 if gone(node):
@@ -95,8 +95,12 @@
                 del self.schedulers[endpoint]
         live = set()
         for scheduler in self.schedulers.values():
-            live |= scheduler.ask_ids()
-        self._endpoint_of = {ask: name for ask, name in self._endpoint_of.items() if ask in live}
+            live |= scheduler.slot_request_ids()
+        self._endpoint_of = {
+            slot_request: name
+            for slot_request, name in self._endpoint_of.items()
+            if slot_request in live
+        }
 
     def _scheduler(self, endpoint: str) -> EndpointScheduler | None:
         """Return the scheduler of an endpoint, or None if the table has no such endpoint."""
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -6,7 +6,6 @@
 from returns.result import Success
 from springbridge.classes import request_ids
 from springbridge.classes.decisions import (
-    Ask,
     Grant,
     Hold,
     Inventory,
@@ -15,8 +14,9 @@
     Refusal,
     Release,
     Sample,
+    SlotRequest,
 )
-from springbridge.classes.limits import Lease, LeaseAsk
+from springbridge.classes.limits import Lease, LeaseRequest
 from springbridge.classes.slots.slot_client import SlotClient
 from springbridge.membership import Membership
 
@@ -62,7 +62,7 @@
         raise TypeError(f"unknown message {type(message).__name__}")
 
     @_take.register
-    def _(self, message: Ask | Hold | Inventory | Release | Sample) -> None:
+    def _(self, message: SlotRequest | Hold | Inventory | Release | Sample) -> None:
         self._parts.hosts.take(message)
 
     @_take.register
@@ -83,7 +83,7 @@
         self._parts.config.take_delta(delta)
 
     @_take.register
-    def _(self, ask: LeaseAsk) -> None:
+    def _(self, ask: LeaseRequest) -> None:
         self._parts.limits.answer_ask(ask)
 
     @_take.register
--- a/packages/springbridge-node/springbridge_node/class_router/peers/messages.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/messages.py
@@ -3,7 +3,6 @@
 from dataclasses import dataclass
 
 from springbridge.classes.decisions import (
-    Ask,
     Grant,
     Hold,
     Inventory,
@@ -12,8 +11,9 @@
     Refusal,
     Release,
     Sample,
+    SlotRequest,
 )
-from springbridge.classes.limits import Lease, LeaseAsk
+from springbridge.classes.limits import Lease, LeaseRequest
 from springbridge.codes import Code
 from springbridge.membership import Member
 
@@ -76,7 +76,7 @@
 
 
 Message = (
-    Ask
+    SlotRequest
     | Hold
     | Inventory
     | Release
@@ -88,7 +88,7 @@
     | Digest
     | ConfigPull
     | ConfigDelta
-    | LeaseAsk
+    | LeaseRequest
     | Lease
     | HandOver
     | HandOverReply
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
@@ -13,13 +13,20 @@
 from springbridge_node.class_router.peers.proto import peer_pb2
 
 # Names in peer.proto, which are older, by the names that types and fields have in the code.
-WIRE_TYPES = {"SnapshotStatus": "ListingSeen"}
+WIRE_TYPES = {
+    "SnapshotStatus": "ListingSeen",
+    "SlotRequest": "Ask",
+    "LeaseRequest": "LeaseAsk",
+}
 WIRE_FIELDS = {
     "failure_domain": "place",
     "endpoint_snapshot": "listing",
     "fingerprint": "mark",
     "endpoint": "engine",
     "concurrency": "places",
+    "slot_request": "ask",
+    "slot_request_id": "ask_id",
+    "slot_request_ids": "ask_ids",
 }
 
 
@@ -28,7 +35,9 @@
     return "".join("_" + char.lower() if char.isupper() else char for char in name).lstrip("_")
 
 
-TYPES: dict[str, type] = {_snake(kind.__name__): kind for kind in get_args(Message)}
+TYPES: dict[str, type] = {
+    _snake(WIRE_TYPES.get(kind.__name__, kind.__name__)): kind for kind in get_args(Message)
+}
 FIELD_NAMES: dict[type, str] = {kind: name for name, kind in TYPES.items()}
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
@@ -8,7 +8,7 @@
 import asyncio
 
 from returns.result import Failure, Result, Success
-from springbridge.classes.binding import Bindings, Record, Stage
+from springbridge.classes.binding import Record, RequestRecords, Stage
 from springbridge.classes.entities import EndpointKind
 from springbridge.classes.request_ids import RequestId
 from springbridge.codes import Code
@@ -28,7 +28,7 @@
     def __init__(
         self,
         membership: Membership,
-        bindings: Bindings,
+        bindings: RequestRecords,
         answers: KeptAnswers,
         runner: Runner,
         lookup: HomeLookup,
--- a/packages/springbridge-node/springbridge_node/class_router/requests/home_lookup.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/home_lookup.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from returns.result import Failure, Result, Success
-from springbridge.classes.binding import Bindings, Record, Stage
+from springbridge.classes.binding import Record, RequestRecords, Stage
 from springbridge.classes.ports import TableStore
 from springbridge.classes.request_ids import RequestId
 from springbridge.codes import Code
@@ -37,7 +37,7 @@
     def __init__(
         self,
         membership: Membership,
-        bindings: Bindings,
+        bindings: RequestRecords,
         store: TableStore,
         send: Callable[[str, Message], None],
     ):
--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -10,7 +10,7 @@
 
 from returns.result import Failure, Result, Success
 from springbridge.classes.entities import Share, Table
-from springbridge.classes.limits import Lease, LeaseAsk, LimitOwner, NodeLimit
+from springbridge.classes.limits import Lease, LeaseRequest, LimitOwner, NodeLimit
 from springbridge.hashing import owner
 from springbridge.membership import Membership
 from springbridge.problems import Problem
@@ -56,7 +56,7 @@
         key = (share.customer, share.request_class)
         limit = self._limits.setdefault(key, NodeLimit(share))
         limit.share = share
-        limit.want()
+        limit.count_demand()
         if limit.try_start(self._clock()):
             return Success(limit)
         asked = False
@@ -99,13 +99,13 @@
             limit.fall_back(self._clock(), self._nodes())
             self._answered(key)
             return
-        self._send(limit_owner, limit.ask(self._membership.me.incarnation))
+        self._send(limit_owner, limit.lease_request(self._membership.me.incarnation))
 
-    def answer_ask(self, ask: LeaseAsk) -> None:
-        """Answer a node's ask as the owner of the limit."""
-        share = self._table().shares.get((ask.customer, ask.request_class))
+    def answer_ask(self, request: LeaseRequest) -> None:
+        """Answer a node's lease request as the owner of the limit."""
+        share = self._table().shares.get((request.customer, request.request_class))
         if share is not None:
-            self._send(ask.node, self._owner.lease(ask, share, self._nodes()))
+            self._send(request.node, self._owner.lease(request, share, self._nodes()))
 
     def take_lease(self, lease: Lease) -> None:
         """Take in the owner's answer."""
@@ -121,7 +121,7 @@
         for key, limit in self._limits.items():
             limit_owner = self._owner_of(*key)
             if limit.in_use and limit_owner is not None:
-                self._send(limit_owner, limit.ask(me))
+                self._send(limit_owner, limit.lease_request(me))
 
     def tidy(self) -> None:
         """Forget limits that other nodes own now and leases that are long over."""
@@ -154,4 +154,4 @@
         yield
     finally:
         limit.finish()
-        limit.note_run(clock() - start_s)
+        limit.record_duration(clock() - start_s)
--- a/packages/springbridge-node/springbridge_node/class_router/requests/progress.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/progress.py
@@ -48,7 +48,7 @@
         """Return the time since the newest chunk, or since the start before the first."""
         return now_s - max(self.started_s, self.last_s)
 
-    def sample(self, ask_id: str) -> Sample:
+    def sample(self, slot_request_id: str) -> Sample:
         """Return the latencies since the last sample."""
         first_token_s = 0.0
         if self.tokens and not self.sampled_s:
@@ -59,7 +59,7 @@
         between_s = (self.last_s - self.sampled_s) / fresh if fresh else 0.0
         self.sampled_s = self.last_s
         self.sampled_tokens = self.tokens
-        return Sample(ask_id, first_token_s, between_s, self.tokens)
+        return Sample(slot_request_id, first_token_s, between_s, self.tokens)
 
 
 def stall_s_of(request: Request, endpoint: Endpoint) -> float:
--- a/packages/springbridge-node/springbridge_node/class_router/requests/slot_attempt.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/slot_attempt.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from returns.result import Failure
-from springbridge.classes.binding import Bindings
+from springbridge.classes.binding import RequestRecords
 from springbridge.classes.decisions import Outcome
 from springbridge.classes.entities import EndpointKind
 from springbridge.classes.ports import (
@@ -40,7 +40,7 @@
 
     slots: SlotSource
     clients: dict[EndpointKind, EndpointClient]
-    bindings: Bindings
+    bindings: RequestRecords
     clock: Callable[[], float]
 
 
@@ -71,7 +71,7 @@
         finally:
             if outcome is not Outcome.DONE and self._work.request.repeatable:
                 self._cancel_at_endpoint()
-            sample = self._progress.sample(self._slot.ask_id)
+            sample = self._progress.sample(self._slot.slot_request_id)
             self._slots.release(self._slot, outcome, sample)
 
     def _cancel_at_endpoint(self) -> None:
@@ -127,7 +127,7 @@
                 return
             if self._progress.tokens and now_s - reported_s >= SAMPLE_INTERVAL_S:
                 reported_s = now_s
-                self._slots.sample(self._slot, self._progress.sample(self._slot.ask_id))
+                self._slots.sample(self._slot, self._progress.sample(self._slot.slot_request_id))
 
     async def _send_and_read(self) -> None:
         """Send the job and read its chunks into the answer.
--- a/packages/springbridge-standins/springbridge_standins/capacity/library.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/library.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from time import perf_counter
 
-from springbridge.classes.binding import Bindings
-from springbridge.classes.decisions import Ask, Inventory, Outcome, Release, Sample
+from springbridge.classes.binding import RequestRecords
+from springbridge.classes.decisions import Inventory, Outcome, Release, Sample, SlotRequest
 from springbridge.classes.entities import Share, Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.limits import LimitOwner, NodeLimit
@@ -21,33 +21,35 @@
 from springbridge_standins.capacity.fit import Slope, measure, memory
 
 
-def an_ask(name: str, tier: Tier = Tier.STANDARD) -> Ask:
-    """Return an ask for measurements."""
-    return Ask(
+def a_slot_request(name: str, tier: Tier = Tier.STANDARD) -> SlotRequest:
+    """Return a slot request for measurements."""
+    return SlotRequest(
         name, "node-1-0a1b2c3d", "engine-1", "claims", f"customer-{hash(name) % 50}", tier, 1.0, 3,
         1e6, 1.0, 1.0, 0.065, 100, True, False,
     )  # fmt: skip
 
 
 def a_scheduler(running: int, waiting: int) -> EndpointScheduler:
-    """Return a scheduler with slots in use and asks in its queue."""
+    """Return a scheduler with slots in use and slot requests in its queue."""
     scheduler = EndpointScheduler("me", "engine-1", 10**9, perf_counter, Invariants())
     for limit in scheduler.limits.tiers.values():
         limit.limit = float(running)
         limit.learnt_s = perf_counter() + 3600
     for number in range(running + waiting):
-        scheduler.ask(an_ask(f"fill-{number}"))
+        scheduler.request_slot(a_slot_request(f"fill-{number}"))
     return scheduler
 
 
 def _turnover(scheduler: EndpointScheduler) -> Callable[[], object]:
-    """Return a step in which one slot is released and one ask comes in."""
+    """Return a step in which one slot is released and one slot request comes in."""
     numbers = iter(range(10**9))
 
     def step() -> None:
-        ask_id = next(iter(scheduler.running))
-        scheduler.release(Release(ask_id, Outcome.DONE, Sample(ask_id, 0.1, 0.02, 50)))
-        scheduler.ask(an_ask(f"more-{next(numbers)}"))
+        slot_request_id = next(iter(scheduler.running))
+        scheduler.release(
+            Release(slot_request_id, Outcome.DONE, Sample(slot_request_id, 0.1, 0.02, 50))
+        )
+        scheduler.request_slot(a_slot_request(f"more-{next(numbers)}"))
 
     return step
 
@@ -102,7 +104,7 @@
 
 
 def _codec_step(count: int) -> Callable[[], object]:
-    messages = [an_ask(f"node-1-0a1b2c3d/{number}") for number in range(count)]
+    messages = [a_slot_request(f"node-1-0a1b2c3d/{number}") for number in range(count)]
     return lambda: decode(encode(messages))
 
 
@@ -112,8 +114,8 @@
     return lambda: view.merge(decode(encode([Digest(tuple(view.digest()))]))[0].members)
 
 
-def _many_bindings(count: int) -> Bindings:
-    bindings = Bindings(lambda: 0.0, lambda: 0.0, Invariants())
+def _many_bindings(count: int) -> RequestRecords:
+    bindings = RequestRecords(lambda: 0.0, lambda: 0.0, Invariants())
     for number in range(count):
         bindings.admit(parse(prefix("node-1-0a1b2c3d", 0) + f"{number:012x}").unwrap(), "c/claims")
     return bindings
@@ -123,7 +125,7 @@
     limits = LimitOwner(lambda: 0.0)
     for number in range(count):
         share = Share(f"customer-{number}", "claims", 1.0, 10.0, 10)
-        limits.lease(NodeLimit(share).ask("node-1"), share, 380)
+        limits.lease(NodeLimit(share).lease_request("node-1"), share, 380)
     return limits
 
 
--- a/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
@@ -105,15 +105,15 @@
     Mutant(
         "extra slot under top-tier overload",
         f"{LIBRARY}/classes/slots/minimum_share.py",
-        "        self.holder = ask_id\n",
+        "        self.holder = slot_request_id\n",
         "        return False\n",
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_extra_slot_goes_to_the_class_that_lacked_it_longest",
     ),
     Mutant(
         "last slot stays preemptible",
         f"{LIBRARY}/classes/slots/endpoint_slots.py",
-        "if ask.is_fixed and self.fixed_below_top() + 1",
-        "if False and self.fixed_below_top() + 1",
+        "            slot_request.is_unpreemptible_lower_tier\n            and",
+        "            False\n            and",
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_fixed_lower_work_leaves_the_last_slot",
     ),
     Mutant(
@@ -133,7 +133,7 @@
     Mutant(
         "inventories",
         f"{LIBRARY}/classes/slots/scheduler.py",
-        "            and ask_id not in kept",
+        "            and slot_request_id not in kept",
         "            and False",
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_lost_release_is_found_by_the_inventory",
     ),
--- a/packages/springbridge/springbridge/classes/binding.py
+++ b/packages/springbridge/springbridge/classes/binding.py
@@ -60,7 +60,7 @@
     Attributes:
       owner: Customer and class of the first sender; a second sender must be the same. An empty one,
         from a peer that sent none, matches any sender.
-      touched_s: When it was last used, on the monotonic clock; its age counts from then.
+      last_used_s: When it was last used, on the monotonic clock; its age counts from then.
       moved_to: Incarnation of the node that became home instead, in stage MOVED.
       dispatches: Attempts that may have reached an endpoint and were not turned away by it.
       problem: The final problem, where the request ended with one.
@@ -70,7 +70,7 @@
 
     owner: str
     stage: Stage
-    touched_s: float
+    last_used_s: float
     moved_to: str = ""
     dispatches: int = 0
     problem: Problem | None = None
@@ -78,7 +78,7 @@
     running: int = 0
 
 
-class Bindings:
+class RequestRecords:
     """The records of all requests whose home is this node."""
 
     def __init__(
@@ -144,7 +144,7 @@
     def finish(self, request_id: str, problem: Problem | None) -> None:
         """Record the end of a request."""
         record = self._records[request_id]
-        self._touch(request_id, record)
+        self._mark_used(request_id, record)
         record.problem = problem
         if problem is not None and problem.not_run:
             self._invariants.check(INVARIANT_NOT_RUN, record.dispatches == 0, request_id)
@@ -188,7 +188,7 @@
         """
         record = self._records[request_id]
         record.running -= 1
-        self._touch(request_id, record)
+        self._mark_used(request_id, record)
         if problem is None or not problem.not_run:
             record.stage = Stage.FINISHED
             return True
@@ -224,14 +224,14 @@
         limit_s = self._clock() - KEEP_S
         while self._records:
             name, record = next(iter(self._records.items()))
-            if record.touched_s > limit_s:
+            if record.last_used_s > limit_s:
                 return
             if record.running or record.stage in (Stage.WAITING, Stage.DISPATCHED):
-                self._touch(name, record)
+                self._mark_used(name, record)
             else:
                 del self._records[name]
 
-    def _touch(self, name: str, record: Record) -> None:
+    def _mark_used(self, name: str, record: Record) -> None:
         """Count a record's age from now on."""
-        record.touched_s = self._clock()
+        record.last_used_s = self._clock()
         self._records.move_to_end(name)
--- a/packages/springbridge/springbridge/classes/binding_test.py
+++ b/packages/springbridge/springbridge/classes/binding_test.py
@@ -9,7 +9,7 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is, IsInstance
 
-from springbridge.classes.binding import KEEP_S, Bindings, Stage
+from springbridge.classes.binding import KEEP_S, RequestRecords, Stage
 from springbridge.classes.request_ids import parse, prefix
 from springbridge.classes.stream import Chunk, StreamCheck
 from springbridge.codes import Code
@@ -22,7 +22,7 @@
 @pytest.fixture
 def bindings(clock, invariants):
     """Return the records of a home."""
-    return Bindings(clock, lambda: WALL_S + clock() - 1000.0, invariants)
+    return RequestRecords(clock, lambda: WALL_S + clock() - 1000.0, invariants)
 
 
 def request_id(home="home", unique="x", issued_s=WALL_S):
--- a/packages/springbridge/springbridge/classes/decisions.py
+++ b/packages/springbridge/springbridge/classes/decisions.py
@@ -1,8 +1,9 @@
 """Messages between an entry node and the scheduler of an endpoint.
 
-An entry node sends an Ask, gets a Decision, and reports how the slot is used. The messages carry
-metadata only, because a scheduler may stand in a failure domain that must not see the content.
-Their fields go to peers by name (peer_codec.py of the node), so a rename needs an entry there.
+An entry node sends a SlotRequest, gets a Decision, and reports how the slot is used. The messages
+carry metadata only, because a scheduler may run in a failure domain that must not see the content.
+The names of these classes and their fields are those in peer.proto unless peer_codec.py of the node
+maps them to others, so a rename needs an entry there.
 """
 
 from dataclasses import dataclass
@@ -12,25 +13,27 @@
 
 
 @dataclass(frozen=True)
-class Ask:
-    """An entry node asks for a slot at one endpoint.
+class SlotRequest:
+    """An entry node's request for a slot at one endpoint.
 
     Attributes:
-      ask_id: Names this ask; unique over all nodes and attempts.
+      slot_request_id: Unique over all nodes and attempts.
       node: Incarnation of the entry node.
       endpoint: Name of the endpoint.
       weight: The customer's weight in the class, for fair queueing.
-      fan: At how many endpoints the same attempt asks; its expected load is spread over them.
-      max_wait_s: Longest time the ask may still wait.
+      fan: Number of endpoints at which the same attempt has requested a slot. The load that the
+        attempt adds to each queue is divided by it.
+      max_wait_s: Longest time the slot request may still wait.
       target_s: What is left of the latency target for the first token.
       first_s: The whole latency target for the first token.
       between_s: Latency target for the mean time between tokens.
       prompt_tokens: Estimated length of the prompt.
-      primary: Whether this endpoint was asked first; only there the ask preempts without delay.
+      primary: Whether this endpoint was asked first; only there the slot request preempts without
+        delay.
       preemptible: Whether the work may be stopped for a higher tier and go on elsewhere.
     """
 
-    ask_id: str
+    slot_request_id: str
     node: str
     endpoint: str
     request_class: str
@@ -47,7 +50,7 @@
     preemptible: bool
 
     @property
-    def is_fixed(self) -> bool:
+    def is_unpreemptible_lower_tier(self) -> bool:
         """Return whether it is work below the top tier that may not be preempted."""
         return not self.preemptible and self.tier is not Tier.URGENT
 
@@ -80,7 +83,7 @@
       tokens: Tokens since the start.
     """
 
-    ask_id: str
+    slot_request_id: str
     first_token_s: float
     between_tokens_s: float
     tokens: int
@@ -90,7 +93,7 @@
 class Release:
     """The entry node gives a slot back."""
 
-    ask_id: str
+    slot_request_id: str
     outcome: Outcome
     sample: Sample
 
@@ -99,15 +102,15 @@
 class Hold:
     """Reports to a new scheduler a slot that the former one gave."""
 
-    ask: Ask
+    slot_request: SlotRequest
 
 
 @dataclass(frozen=True)
 class Inventory:
-    """All asks and slots that a node has at one scheduler, which drops what is not among them."""
+    """All slot requests and slots of a node at one scheduler; the scheduler drops all others."""
 
     node: str
-    ask_ids: tuple[str, ...]
+    slot_request_ids: tuple[str, ...]
 
 
 @dataclass(frozen=True)
@@ -117,10 +120,10 @@
     Attributes:
       scheduler: Incarnation of the node that schedules. A slot that is no longer wanted goes back
         to it, even if it was frozen and another node has taken over its role.
-      used_share: Slots in use as a share of the slots for the ask's tier.
+      used_share: Slots in use as a share of the slots for the slot request's tier.
     """
 
-    ask_id: str
+    slot_request_id: str
     node: str
     scheduler: str
     used_share: float
@@ -128,31 +131,31 @@
 
 @dataclass(frozen=True)
 class Queued:
-    """The ask waits, so the entry node should ask at other endpoints as well.
+    """The slot request waits, so the entry node should request slots at other endpoints too.
 
     Attributes:
       wait_s: The predicted wait. Entry nodes do not read it; it stays because it is on the wire.
     """
 
-    ask_id: str
+    slot_request_id: str
     node: str
     wait_s: float
 
 
 @dataclass(frozen=True)
 class Refusal:
-    """The scheduler does not queue the ask, or gives it up; it may be repeated after the time."""
+    """The scheduler refuses a slot request; it may be repeated after retry_after_s."""
 
-    ask_id: str
+    slot_request_id: str
     node: str
     retry_after_s: float
 
 
 @dataclass(frozen=True)
 class Preemption:
-    """The scheduler takes a slot back; the entry node stops the work and asks anew."""
+    """The scheduler takes a slot back; the entry node stops the work and requests a new slot."""
 
-    ask_id: str
+    slot_request_id: str
     node: str
 
 
--- a/packages/springbridge/springbridge/classes/limits.py
+++ b/packages/springbridge/springbridge/classes/limits.py
@@ -39,13 +39,13 @@
 OWNER_GRACE_S = 1.5 * LEASE_S
 
 # Share of the last request in the mean time that requests run. About ten requests set it.
-RUN_WEIGHT = 0.2
+DURATION_WEIGHT = 0.2
 
 assert OWNER_GRACE_S > LEASE_S, "a new owner must outwait the leases of the former one"
 
 
 @dataclass(frozen=True)
-class LeaseAsk:
+class LeaseRequest:
     """A node asks the owner of a limit for a lease.
 
     Attributes:
@@ -107,8 +107,8 @@
         tokens = max(1.0, share.rate_per_s * UNSETTLED_BURST_S)
         return cls(share, tokens, now_s, now_s)
 
-    def lease(self, ask: LeaseAsk, now_s: float, nodes: int) -> Lease:
-        """Return the lease for an ask.
+    def lease(self, request: LeaseRequest, now_s: float, nodes: int) -> Lease:
+        """Return the lease for a lease request.
 
         Args:
           nodes: Live nodes; a single one has no former owner to wait for.
@@ -116,11 +116,11 @@
         settled = now_s - self.since_s >= OWNER_GRACE_S or nodes == 1
         self._refill(now_s, settled)
         self._drop_expired(now_s)
-        concurrency = self._lease_concurrency(ask, now_s)
-        starts = min(ask.starts, int(self.tokens)) if settled else 0
+        concurrency = self._lease_concurrency(request, now_s)
+        starts = min(request.starts, int(self.tokens)) if settled else 0
         self.tokens -= starts
         retry_s = max(0.0, 1.0 - self.tokens) / self.share.rate_per_s
-        return Lease(ask.customer, ask.request_class, starts, concurrency, retry_s, settled)
+        return Lease(request.customer, request.request_class, starts, concurrency, retry_s, settled)
 
     def _refill(self, now_s: float, settled: bool) -> None:
         """Fill the bucket; only to a part while the nodes still admit their equal parts."""
@@ -135,13 +135,13 @@
             del self.expires_s[node]
             del self.concurrency[node]
 
-    def _lease_concurrency(self, ask: LeaseAsk, now_s: float) -> int:
+    def _lease_concurrency(self, request: LeaseRequest, now_s: float) -> int:
         """Return how many requests a node may run: those it runs already, more only if free."""
-        others = sum(leased for node, leased in self.concurrency.items() if node != ask.node)
+        others = sum(leased for node, leased in self.concurrency.items() if node != request.node)
         free = max(0, self.share.concurrency - others)
-        leased = max(ask.in_use, min(ask.wanted, free))
-        self.concurrency[ask.node] = leased
-        self.expires_s[ask.node] = now_s + LEASE_S
+        leased = max(request.in_use, min(request.wanted, free))
+        self.concurrency[request.node] = leased
+        self.expires_s[request.node] = now_s + LEASE_S
         return leased
 
 
@@ -154,11 +154,11 @@
       concurrency: Requests that may run here at a time.
       in_use: Requests that run here.
       valid_until_s: When the lease or the equal part ends.
-      own_part: Whether the node admits its equal part, without a lease.
+      uses_equal_part: Whether the node admits its equal part, without a lease.
       refilled_s: When the equal part was last filled.
       retry_after_s: When the rate will allow a start again.
-      demand: Requests that asked to start since the last ask to the owner.
-      mean_run_s: How long requests run, weighted to the last ones; 0 until one has ended here.
+      demand: Requests that asked to start since the last lease request to the owner.
+      mean_duration_s: How long requests run, weighted to the last ones; 0 until one has ended here.
     """
 
     share: Share
@@ -166,11 +166,11 @@
     concurrency: int = 0
     in_use: int = 0
     valid_until_s: float = 0.0
-    own_part: bool = False
+    uses_equal_part: bool = False
     refilled_s: float = 0.0
     retry_after_s: float = retry_times.SHORTEST_S
     demand: int = 0
-    mean_run_s: float = 0.0
+    mean_duration_s: float = 0.0
 
     def try_start(self, now_s: float) -> bool:
         """Start one request if the lease or the equal part allows it; finish() has to follow."""
@@ -182,20 +182,20 @@
         self.in_use += 1
         return True
 
-    def want(self) -> None:
-        """Count a request that asks to start, for the next ask to the owner."""
+    def count_demand(self) -> None:
+        """Count a request that asks to start, for the next lease request to the owner."""
         self.demand += 1
 
     def finish(self) -> None:
         """Note that a request which started here has ended."""
         self.in_use -= 1
 
-    def note_run(self, run_s: float) -> None:
+    def record_duration(self, duration_s: float) -> None:
         """Note for how many seconds a request ran that has ended."""
-        if self.mean_run_s:
-            self.mean_run_s += RUN_WEIGHT * (run_s - self.mean_run_s)
+        if self.mean_duration_s:
+            self.mean_duration_s += DURATION_WEIGHT * (duration_s - self.mean_duration_s)
         else:
-            self.mean_run_s = run_s
+            self.mean_duration_s = duration_s
 
     def refusal(self) -> Problem:
         """Return the problem of a request that could not start: which limit, when to come back.
@@ -207,16 +207,16 @@
         if self.starts < 1:
             retry_after_s = max(retry_times.SHORTEST_S, self.retry_after_s)
             return Problem(Code.RATE_LIMITED, source=source, retry_after_s=retry_after_s)
-        next_end_s = self.mean_run_s / max(1, self.in_use)
+        next_end_s = self.mean_duration_s / max(1, self.in_use)
         retry_after_s = retry_times.after_wait(max(self.retry_after_s, next_end_s))
         return Problem(Code.CONCURRENCY_LIMITED, source=source, retry_after_s=retry_after_s)
 
-    def ask(self, node: str) -> LeaseAsk:
-        """Return what to ask the owner for, from the demand since the last ask."""
+    def lease_request(self, node: str) -> LeaseRequest:
+        """Return what to ask the owner for, from the demand since the last lease request."""
         starts = self.demand
         self.demand = 0
         wanted = self.in_use + starts
-        return LeaseAsk(
+        return LeaseRequest(
             node, self.share.customer, self.share.request_class, starts, self.in_use, wanted
         )
 
@@ -225,8 +225,8 @@
         if not lease.settled:
             self.fall_back(now_s, nodes)
             return
-        kept = self.starts if now_s < self.valid_until_s and not self.own_part else 0.0
-        self.own_part = False
+        kept = self.starts if now_s < self.valid_until_s and not self.uses_equal_part else 0.0
+        self.uses_equal_part = False
         self.starts = kept + lease.starts
         self.concurrency = lease.concurrency
         self.retry_after_s = lease.retry_after_s
@@ -236,8 +236,8 @@
         """Admit this node's equal part, since the owner cannot be asked."""
         rate = self.share.rate_per_s / nodes
         burst = max(1.0, rate * BURST_S)
-        if not self.own_part:
-            self.own_part = True
+        if not self.uses_equal_part:
+            self.uses_equal_part = True
             self.starts = burst
             self.refilled_s = now_s
         grown = self.starts + (now_s - self.refilled_s) * rate
@@ -256,15 +256,15 @@
         self._clock = clock
         self._owned: dict[tuple[str, str], OwnedLimit] = {}
 
-    def lease(self, ask: LeaseAsk, share: Share, nodes: int) -> Lease:
-        """Answer a node's ask under the share that is in force."""
+    def lease(self, request: LeaseRequest, share: Share, nodes: int) -> Lease:
+        """Answer a node's lease request under the share that is in force."""
         now_s = self._clock()
-        key = (ask.customer, ask.request_class)
+        key = (request.customer, request.request_class)
         owned = self._owned.get(key)
         if owned is None:
             owned = self._owned[key] = OwnedLimit.from_share(share, now_s)
         owned.share = share
-        return owned.lease(ask, now_s, nodes)
+        return owned.lease(request, now_s, nodes)
 
     def keep_only(self, owned: Callable[[str, str], bool]) -> None:
         """Forget the limits that other nodes own now."""
--- a/packages/springbridge/springbridge/classes/limits_test.py
+++ b/packages/springbridge/springbridge/classes/limits_test.py
@@ -25,19 +25,19 @@
 
 def settle(owner, clock):
     """Let the owner pass its grace, as after its first seconds."""
-    owner.lease(NodeLimit(SHARE).ask(NODES[0]), SHARE, len(NODES))
+    owner.lease(NodeLimit(SHARE).lease_request(NODES[0]), SHARE, len(NODES))
     clock.advance(OWNER_GRACE_S)
 
 
 def start(node, limit, owner, clock):
     """Try a start as an entry node does: from the lease, else after asking the owner."""
-    limit.want()
+    limit.count_demand()
     if limit.try_start(clock()):
         return True
     if owner is None:
         limit.fall_back(clock(), len(NODES))
     else:
-        limit.take(owner.lease(limit.ask(node), SHARE, len(NODES)), clock(), len(NODES))
+        limit.take(owner.lease(limit.lease_request(node), SHARE, len(NODES)), clock(), len(NODES))
     return limit.try_start(clock())
 
 
@@ -125,16 +125,16 @@
     # Callers were told 0.1 s however long the running requests took, and came back ten times a
     # second.
     limit = NodeLimit(SHARE, starts=2.0, concurrency=4, in_use=4, retry_after_s=0.0)
-    limit.note_run(6.0)
+    limit.record_duration(6.0)
     assert_that(limit.refusal().retry_after_s, Equals(6.0 / 4))
     for _ in range(40):
-        limit.note_run(2.0)
+        limit.record_duration(2.0)
     assert_that(round(limit.refusal().retry_after_s, 2), Equals(2.0 / 4))
 
 
 def test_who_is_refused_for_the_rate_is_told_of_the_rate_alone():
     limit = NodeLimit(SHARE, starts=0.5, concurrency=4, in_use=4, retry_after_s=3.0)
-    limit.note_run(60.0)
+    limit.record_duration(60.0)
     assert_that(limit.refusal().retry_after_s, Equals(3.0))
 
 
--- a/packages/springbridge/springbridge/classes/ports.py
+++ b/packages/springbridge/springbridge/classes/ports.py
@@ -146,7 +146,7 @@
 class Slot:
     """The right to send one job to one endpoint."""
 
-    ask_id: str
+    slot_request_id: str
     endpoint: Endpoint
 
 
--- a/packages/springbridge/springbridge/classes/slots/asking_order.py
+++ b/packages/springbridge/springbridge/classes/slots/asking_order.py
@@ -3,9 +3,9 @@
 Decided: the endpoint that is asked first, and which others are asked once that one has no slot at
 once. Inputs: the endpoints that the request may use, how full each was for the tier as far as this
 node was told (a share of its slots), the tier and the request's affinity. Outcome: endpoints to
-ask. Why: under light load one ask is enough; asking the others as well and taking the first grant
-(late binding; Ousterhout and others, Sparrow, SOSP 2013) keeps a request from waiting behind a slow
-endpoint.
+slot request. Why: under light load one slot request is enough; asking the others as well and taking
+the first grant (late binding; Ousterhout and others, Sparrow, SOSP 2013) keeps a request from
+waiting behind a slow endpoint.
 
 Urgent requests of all nodes prefer the same URGENT_PREFERRED endpoints, so that the others may run
 wide batches; other requests prefer the endpoint that may have their prefix cached.
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from springbridge.classes.decisions import Ask
+from springbridge.classes.decisions import SlotRequest
 from springbridge.classes.entities import Endpoint, Request, Tier
 from springbridge.classes.ports import Attempt
 from springbridge.hashing import ranking
@@ -42,9 +42,9 @@
 
     _shares: dict[tuple[str, Tier], float] = field(default_factory=dict)
 
-    def note(self, ask: Ask, share: float) -> None:
-        """Note the share of the slots in use, from the decision on an ask."""
-        self._shares[ask.endpoint, ask.tier] = share
+    def note(self, slot_request: SlotRequest, share: float) -> None:
+        """Note the share of the slots in use, from the decision on a slot request."""
+        self._shares[slot_request.endpoint, slot_request.tier] = share
 
     def find(self, endpoint: str, tier: Tier) -> float:
         """Return the last share of an endpoint; 0 if there was none."""
--- a/packages/springbridge/springbridge/classes/slots/asking_order_test.py
+++ b/packages/springbridge/springbridge/classes/slots/asking_order_test.py
@@ -42,32 +42,34 @@
     return make
 
 
-def note_full(used, make_ask, names, tier):
+def note_full(used, make_slot_request, names, tier):
     for name in names:
-        used.note(make_ask("ask", tier, endpoint=name), PREFERENCE_BOUND)
+        used.note(make_slot_request("ask", tier, endpoint=name), PREFERENCE_BOUND)
 
 
-def test_urgent_requests_prefer_the_same_endpoints_while_these_have_room(attempt, make_ask, rng):
+def test_urgent_requests_prefer_the_same_endpoints_while_these_have_room(
+    attempt, make_slot_request, rng
+):
     one = attempt(Tier.URGENT, 6)
     names = preferred(one.request, one.endpoints)
     used = UsedShares()
     assert_that(names, HasLength(URGENT_PREFERRED))
     assert_that(choose_first(one, used, rng).name, Equals(names[0]))
-    note_full(used, make_ask, names[:1], Tier.URGENT)
+    note_full(used, make_slot_request, names[:1], Tier.URGENT)
     assert_that(choose_first(one, used, rng).name, Equals(names[1]))
 
 
-def test_other_requests_prefer_the_endpoint_of_their_prefix(attempt, make_ask, rng):
+def test_other_requests_prefer_the_endpoint_of_their_prefix(attempt, make_slot_request, rng):
     one = attempt(Tier.BULK, 6, affinity="prompt")
     name = preferred(one.request, one.endpoints)[0]
     used = UsedShares()
-    note_full(used, make_ask, [name], Tier.URGENT)
+    note_full(used, make_slot_request, [name], Tier.URGENT)
     assert_that(choose_first(one, used, rng).name, Equals(name))
 
 
-def test_without_a_preference_the_emptier_of_two_is_asked(attempt, make_ask, rng):
+def test_without_a_preference_the_emptier_of_two_is_asked(attempt, make_slot_request, rng):
     used = UsedShares()
-    note_full(used, make_ask, ["e0"], Tier.BULK)
+    note_full(used, make_slot_request, ["e0"], Tier.BULK)
     first = {choose_first(attempt(Tier.BULK, 2), used, rng).name for _ in range(20)}
     assert_that(first, Equals({"e1"}))
 
--- a/packages/springbridge/springbridge/classes/slots/concurrency.py
+++ b/packages/springbridge/springbridge/classes/slots/concurrency.py
@@ -8,8 +8,8 @@
 
 Why: entry nodes see latencies at once, while load reports lag. A limit moves by additive increase
 and multiplicative decrease. A good sample near the limit adds one slot per round, more where the
-latency is far below the target; one above the target takes a tenth, at most once per COOL_S. A
-sample taken far from a limit says nothing about it.
+latency is far below the target; one above the target takes a tenth, at most once per
+DECREASE_INTERVAL_S. A sample taken far from a limit says nothing about it.
 
 """
 
@@ -35,17 +35,17 @@
 # the limit takes to follow. Compared with 0.95 only together with another change; see above.
 TARGET_SHARE = 0.85
 # Seconds between two decreases, so that one slow moment, which many streams see, counts once.
-COOL_S = 0.4
+DECREASE_INTERVAL_S = 0.4
 # In flight as a share of the limit: from here on a good sample may raise it.
-NEAR_BELOW = 0.75
+MIN_UTILIZATION_TO_RAISE = 0.75
 # In flight as a share of the limit: beyond this a sample says nothing about it.
-NEAR_ABOVE = 1.15
+MAX_UTILIZATION_TO_LEARN = 1.15
 # A limit without a sample for so long is tried again with LATE_LIMIT slots, in case the endpoint
 # has become faster.
 STALE_S = 5.0
 
 assert SMALLEST_LIMIT < 1 <= LATE_LIMIT <= FIRST_LIMIT <= MAX_LIMIT
-assert NEAR_BELOW < 1 < NEAR_ABOVE
+assert MIN_UTILIZATION_TO_RAISE < 1 < MAX_UTILIZATION_TO_LEARN
 
 
 @dataclass
@@ -54,36 +54,36 @@
 
     Attributes:
       limit: In slots, with a fraction.
-      cool_until_s: No decrease before this time.
+      next_decrease_s: No decrease before this time.
       learnt_s: When a sample last said something about the limit.
     """
 
     limit: float = FIRST_LIMIT
-    cool_until_s: float = 0.0
+    next_decrease_s: float = 0.0
     learnt_s: float = 0.0
 
-    def learn(self, now_s: float, pressure: float, in_flight: int) -> None:
+    def learn(self, now_s: float, latency_ratio: float, in_flight: int) -> None:
         """Adjust the limit to one latency.
 
         Args:
           pressure: The latency as a share of its target.
           in_flight: Requests that the endpoint had at a time.
         """
-        if in_flight > max(LATE_LIMIT, NEAR_ABOVE * self.limit):
+        if in_flight > max(LATE_LIMIT, MAX_UTILIZATION_TO_LEARN * self.limit):
             return
         self.learnt_s = now_s
-        if pressure > TARGET_SHARE:
+        if latency_ratio > TARGET_SHARE:
             self._decrease(now_s)
-        elif in_flight >= NEAR_BELOW * self.limit:
-            headroom = 1 - pressure / TARGET_SHARE
+        elif in_flight >= MIN_UTILIZATION_TO_RAISE * self.limit:
+            headroom = 1 - latency_ratio / TARGET_SHARE
             step = max(1.0, FASTEST_INCREASE * headroom) / max(1.0, self.limit)
             self.limit = min(MAX_LIMIT, self.limit + step)
 
     def _decrease(self, now_s: float) -> None:
-        if now_s < self.cool_until_s:
+        if now_s < self.next_decrease_s:
             return
         self.limit = max(SMALLEST_LIMIT, self.limit * DECREASE)
-        self.cool_until_s = now_s + COOL_S
+        self.next_decrease_s = now_s + DECREASE_INTERVAL_S
 
     def slots(self, now_s: float) -> int:
         """Return the limit in whole slots; one without a sample for STALE_S is tried again."""
@@ -107,7 +107,7 @@
         default_factory=lambda: {tier: {} for tier in Tier}
     )
 
-    def know_target(self, tier: Tier, request_class: str, between_s: float) -> None:
+    def set_target(self, tier: Tier, request_class: str, between_s: float) -> None:
         """Note the target for the time between tokens of a class."""
         self.targets_s[tier][request_class] = between_s
 
@@ -120,9 +120,9 @@
             if targets:
                 self.tiers[tier].learn(now_s, between_s / min(targets.values()), in_flight)
 
-    def learn_first(self, now_s: float, tier: Tier, pressure: float, in_flight: int) -> None:
+    def learn_first(self, now_s: float, tier: Tier, latency_ratio: float, in_flight: int) -> None:
         """Adjust one tier's limit to the time to a first token, as a share of its target."""
-        self.tiers[tier].learn(now_s, pressure, in_flight)
+        self.tiers[tier].learn(now_s, latency_ratio, in_flight)
 
     def slots(self, now_s: float, tiers: set[Tier]) -> int:
         """Return how many requests the endpoint takes while these tiers meet their targets."""
--- a/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from springbridge.classes.decisions import Ask, Outcome, Release, Sample
+from springbridge.classes.decisions import Outcome, Release, Sample, SlotRequest
 from springbridge.classes.endpoint_health import EndpointHealth
 from springbridge.classes.entities import Tier
 from springbridge.classes.slots.concurrency import LATE_LIMIT, EndpointLimits
@@ -23,12 +23,12 @@
 FIRST_SERVICE_S = 1.0
 # Slots, at least, of which work that may not be preempted leaves one to the top tier. With one slot
 # such work could never run. Derived: the smallest number that has one to leave.
-FEWEST_TO_LEAVE_ONE = 2
+MIN_SLOTS_TO_RESERVE_ONE = 2
 
 
 @dataclass
 class Running:
-    """An ask that holds a slot.
+    """A slot request that holds a slot.
 
     Attributes:
       since_s: When it got the slot.
@@ -36,22 +36,22 @@
       stopping: Whether it was told to stop.
     """
 
-    ask: Ask
+    slot_request: SlotRequest
     since_s: float
     tokens: float
     stopping: bool = False
 
     @property
-    def yields(self) -> bool:
+    def is_preemptible(self) -> bool:
         """Return whether the work may be preempted and was not told to stop yet."""
-        return self.ask.preemptible and not self.stopping
+        return self.slot_request.preemptible and not self.stopping
 
 
 class EndpointSlots:
     """The slots of one endpoint.
 
     Attributes:
-      running: The asks that hold a slot, by id.
+      running: The slot requests that hold a slot, by id.
       limits: Learnt limits of the tiers.
       health: Slots that its failures take away.
       share: The extra slot of the minimum share.
@@ -75,14 +75,16 @@
         self._clock = clock
         self._answer_tokens: dict[str, RunningQuantile] = {}
 
-    def hold(self, ask: Ask, now_s: float) -> None:
-        """Note that an ask holds a slot from now on."""
-        self.running[ask.ask_id] = Running(ask, now_s, self.tokens(ask))
+    def hold(self, slot_request: SlotRequest, now_s: float) -> None:
+        """Note that a slot request holds a slot from now on."""
+        self.running[slot_request.slot_request_id] = Running(
+            slot_request, now_s, self.tokens(slot_request)
+        )
 
-    def free(self, ask_id: str) -> None:
-        """Note that an ask no longer holds its slot."""
-        del self.running[ask_id]
-        self.share.release(ask_id)
+    def free(self, slot_request_id: str) -> None:
+        """Note that a slot request no longer holds its slot."""
+        del self.running[slot_request_id]
+        self.share.release(slot_request_id)
 
     def used(self) -> int:
         """Return the slots in use, without the extra one of the minimum share."""
@@ -91,41 +93,48 @@
     def for_tier(self, tier: Tier, now_s: float) -> int:
         """Return how many slots there are for a tier, given the tiers that run now.
 
-        An endpoint too slow for a tier has none for it, until an ask has waited so long that late
-        is better than never.
+        An endpoint too slow for a tier has none for it, until a slot request has waited so long
+        that late is better than never.
         """
-        present = {run.ask.tier for run in self.running.values()}
+        present = {run.slot_request.tier for run in self.running.values()}
         slots = self.limits.slots(now_s, present | {tier})
         if self._queue.is_late(tier, now_s):
             slots = max(int(LATE_LIMIT), slots)
         return self.health.slots(now_s, slots)
 
-    def beside_fixed(self) -> int:
+    def slots_with_one_reserved(self) -> int:
         """Return of how many slots work that may not be preempted has to leave one."""
-        return max(FEWEST_TO_LEAVE_ONE, self.limits.slots(self._clock(), set(Tier)))
+        return max(MIN_SLOTS_TO_RESERVE_ONE, self.limits.slots(self._clock(), set(Tier)))
 
     def is_free(self, tier: Tier, now_s: float) -> bool:
         """Return whether a tier has a slot now."""
         return self.used() < self.for_tier(tier, now_s)
 
-    def fits(self, ask: Ask) -> bool:
-        """Return whether an ask fits the memory and leaves the last slot to the top tier.
+    def fits(self, slot_request: SlotRequest) -> bool:
+        """Return whether a slot request fits the memory and leaves the last slot to the top tier.
 
-        An ask that is larger than the memory runs alone.
+        A slot request that is larger than the memory runs alone.
         """
-        if ask.is_fixed and self.fixed_below_top() + 1 >= self.beside_fixed():
+        if (
+            slot_request.is_unpreemptible_lower_tier
+            and self.unpreemptible_lower_tier_used() + 1 >= self.slots_with_one_reserved()
+        ):
             return False
         used = sum(run.tokens for run in self.running.values())
-        return not used or used + self.tokens(ask) <= self._token_capacity
+        return not used or used + self.tokens(slot_request) <= self._token_capacity
 
-    def fixed_below_top(self) -> int:
+    def unpreemptible_lower_tier_used(self) -> int:
         """Return the slots held by fixed work, without the extra one of the minimum share."""
-        fixed = [ask_id for ask_id, run in self.running.items() if run.ask.is_fixed]
-        return len(fixed) - (self.share.holder in fixed)
+        unpreemptible = [
+            slot_request_id
+            for slot_request_id, run in self.running.items()
+            if run.slot_request.is_unpreemptible_lower_tier
+        ]
+        return len(unpreemptible) - (self.share.holder in unpreemptible)
 
-    def tokens(self, ask: Ask) -> float:
-        """Return the tokens that an ask is expected to take up."""
-        return ask.prompt_tokens + self._answer_quantile(ask.request_class).value
+    def tokens(self, slot_request: SlotRequest) -> float:
+        """Return the tokens that a slot request is expected to take up."""
+        return slot_request.prompt_tokens + self._answer_quantile(slot_request.request_class).value
 
     def _answer_quantile(self, request_class: str) -> RunningQuantile:
         return self._answer_tokens.setdefault(request_class, RunningQuantile(FIRST_ANSWER_TOKENS))
@@ -136,8 +145,8 @@
         if sample.between_tokens_s:
             self.limits.learn_between(now_s, sample.between_tokens_s, in_flight)
         if sample.first_token_s:
-            pressure = sample.first_token_s / running.ask.first_s
-            self.limits.learn_first(now_s, running.ask.tier, pressure, in_flight)
+            latency_ratio = sample.first_token_s / running.slot_request.first_s
+            self.limits.learn_first(now_s, running.slot_request.tier, latency_ratio, in_flight)
 
     def learn_outcome(self, running: Running, release: Release, now_s: float) -> None:
         """Adjust health and estimates to how a slot ended."""
@@ -145,26 +154,26 @@
             self.health.failure(now_s)
         elif release.outcome is Outcome.DONE:
             self.health.success()
-            self._answer_quantile(running.ask.request_class).add(release.sample.tokens)
+            self._answer_quantile(running.slot_request.request_class).add(release.sample.tokens)
         if release.outcome is not Outcome.UNUSED:
             self.service_s.add(now_s - running.since_s)
 
     def predicted_wait_s(self, tier: Tier, now_s: float) -> float:
-        """Return how long a new ask of the tier would wait for a slot, in seconds."""
+        """Return how long a new slot request of the tier would wait for a slot, in seconds."""
         suspended_s = max(0.0, self.health.suspended_until_s - now_s)
         slots = max(1, self.for_tier(tier, now_s))
         free = slots - self.used() + self._stopping()
         behind = self._queue.load_ahead(tier) + 1 - free
         return suspended_s + max(0.0, behind) * self.service_s.value / slots
 
-    def queued_wait_s(self, ask: Ask, now_s: float) -> float:
-        """Return how long an ask that is in the queue already would wait, in seconds.
+    def queued_wait_s(self, slot_request: SlotRequest, now_s: float) -> float:
+        """Return how long a slot request that is in the queue already would wait, in seconds.
 
-        The prediction counts the ask as one of those ahead, so its own part is taken off.
+        The prediction counts the slot request as one of those ahead, so its own part is taken off.
         """
-        slots = max(1, self.for_tier(ask.tier, now_s))
-        own_s = self.service_s.value / slots / ask.fan
-        return max(0.0, self.predicted_wait_s(ask.tier, now_s) - own_s)
+        slots = max(1, self.for_tier(slot_request.tier, now_s))
+        own_s = self.service_s.value / slots / slot_request.fan
+        return max(0.0, self.predicted_wait_s(slot_request.tier, now_s) - own_s)
 
     def is_one_short(self, tier: Tier, now_s: float) -> bool:
         """Return whether at most one slot has to be given back to make room for the tier."""
--- a/packages/springbridge/springbridge/classes/slots/fair_queue.py
+++ b/packages/springbridge/springbridge/classes/slots/fair_queue.py
@@ -1,23 +1,23 @@
-"""Fair order: which waiting ask of an endpoint is served next?
-
-Decided: the next ask. Inputs: tier, customer, class and weight of the asks, their expected work in
-tokens, and how often each tier was passed over. Outcome: one ask, or none. Tiers are strict; inside
-a tier, customers and classes share by weight (start-time fair queueing: a flow's next start tag
-grows by cost over weight). A lower tier that was passed over MIN_SHARE_GRANTS times in a row is
-owed one grant. Why: the urgent go first, a customer cannot crowd out the others of its tier, and
-every class is served in the end. No measurement set the constants.
+"""Fair order: which waiting slot request of an endpoint is served next?
+
+Decided: the next slot request. Inputs: tier, customer, class and weight of the slot requests, their
+expected work in tokens, and how often each tier was passed over. Outcome: one slot request, or
+none. Tiers are strict; inside a tier, customers and classes share by weight (start-time fair
+queueing: a flow's next start tag grows by cost over weight). A lower tier that was passed over
+MIN_SHARE_GRANTS times in a row is owed one grant. Why: the urgent go first, a customer cannot crowd
+out the others of its tier, and every class is served in the end. No measurement set the constants.
 """
 
 import heapq
 from dataclasses import dataclass, field
 
-from springbridge.classes.decisions import Ask
+from springbridge.classes.decisions import SlotRequest
 from springbridge.classes.entities import Tier
 
 # Grants to higher tiers after which a lower tier is owed one, so it gets at least one in 21.
 MIN_SHARE_GRANTS = 20
-# Share of its latency target after which a waiting ask counts as late. It then preempts at every
-# endpoint and is served by one that is too slow for its tier.
+# Share of its latency target after which a waiting slot request counts as late. It then preempts at
+# every endpoint and is served by one that is too slow for its tier.
 LATE_TARGET_SHARE = 0.5
 # Idle flows are dropped once there are more flows than this beside two for each entry of the heap,
 # so that the clean-up costs little on average and memory stays bounded.
@@ -26,7 +26,7 @@
 
 @dataclass(order=True)
 class Entry:
-    """An ask in the queue, ordered by its start tag and then by arrival.
+    """A slot request in the queue, ordered by its start tag and then by arrival.
 
     Attributes:
       tag: Start tag in expected tokens over weight.
@@ -36,12 +36,12 @@
       gone: Whether it was removed; the heap drops it later.
     """
 
-    tag: float
+    start_tag: float
     number: int
-    ask: Ask = field(compare=False)
+    slot_request: SlotRequest = field(compare=False)
     expires_s: float = field(compare=False)
     late_s: float = field(compare=False)
-    gone: bool = field(default=False, compare=False)
+    removed: bool = field(default=False, compare=False)
 
 
 class TierQueue:
@@ -49,47 +49,54 @@
 
     def __init__(self) -> None:
         self._heap: list[Entry] = []
-        self._finish: dict[tuple[str, str], float] = {}
-        self._virtual = 0.0
-
-    def push(self, ask: Ask, number: int, cost: float, now_s: float) -> Entry:
-        """Queue an ask whose expected work is cost, in tokens, and return its entry."""
-        flow = (ask.customer, ask.request_class)
-        tag = max(self._virtual, self._finish.get(flow, 0.0))
-        self._finish[flow] = tag + cost / ask.weight
-        expires_s = now_s + ask.max_wait_s
-        late_s = now_s + LATE_TARGET_SHARE * ask.target_s
-        entry = Entry(tag, number, ask, expires_s, late_s)
+        self._finish_tags: dict[tuple[str, str], float] = {}
+        self._virtual_time = 0.0
+
+    def push(self, slot_request: SlotRequest, number: int, cost: float, now_s: float) -> Entry:
+        """Queue a slot request whose expected work is cost, in tokens, and return its entry."""
+        flow = (slot_request.customer, slot_request.request_class)
+        start_tag = max(self._virtual_time, self._finish_tags.get(flow, 0.0))
+        self._finish_tags[flow] = start_tag + cost / slot_request.weight
+        expires_s = now_s + slot_request.max_wait_s
+        late_s = now_s + LATE_TARGET_SHARE * slot_request.target_s
+        entry = Entry(start_tag, number, slot_request, expires_s, late_s)
         heapq.heappush(self._heap, entry)
         return entry
 
     def peek(self) -> Entry | None:
         """Return the entry that is next, or None."""
-        while self._heap and self._heap[0].gone:
+        while self._heap and self._heap[0].removed:
             heapq.heappop(self._heap)
         return self._heap[0] if self._heap else None
 
     def pop(self) -> Entry:
         """Remove and return the next entry."""
         entry = heapq.heappop(self._heap)
-        entry.gone = True
-        self._virtual = max(self._virtual, entry.tag)
+        entry.removed = True
+        self._virtual_time = max(self._virtual_time, entry.start_tag)
         self._forget_idle_flows()
         return entry
 
     def _forget_idle_flows(self) -> None:
-        """Drop flows whose tag lies in the past, once there are many; a new ask makes them anew."""
-        if len(self._finish) <= 2 * len(self._heap) + IDLE_FLOWS:
+        """Drop flows whose finish tag is in the past, once there are many.
+
+        A new slot request of such a flow adds it again.
+        """
+        if len(self._finish_tags) <= 2 * len(self._heap) + IDLE_FLOWS:
             return
-        self._finish = {flow: tag for flow, tag in self._finish.items() if tag > self._virtual}
+        self._finish_tags = {
+            flow: start_tag
+            for flow, start_tag in self._finish_tags.items()
+            if start_tag > self._virtual_time
+        }
 
 
 class FairQueue:
-    """All waiting asks of one endpoint."""
+    """All waiting slot requests of one endpoint."""
 
     def __init__(self) -> None:
         self._tiers = {tier: TierQueue() for tier in Tier}
-        self._passed = dict.fromkeys(Tier, 0)
+        self._passed_over = dict.fromkeys(Tier, 0)
         self._entries: dict[str, Entry] = {}
         self._load = dict.fromkeys(Tier, 0.0)
         self._pushed = 0
@@ -97,75 +104,79 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def __contains__(self, ask_id: str) -> bool:
-        return ask_id in self._entries
+    def __contains__(self, slot_request_id: str) -> bool:
+        return slot_request_id in self._entries
 
-    def push(self, ask: Ask, cost: float, now_s: float) -> None:
-        """Queue an ask whose expected work is cost, in tokens."""
+    def push(self, slot_request: SlotRequest, cost: float, now_s: float) -> None:
+        """Queue a slot request whose expected work is cost, in tokens."""
         self._pushed += 1
-        entry = self._tiers[ask.tier].push(ask, self._pushed, cost, now_s)
-        self._entries[ask.ask_id] = entry
-        self._load[ask.tier] += 1.0 / ask.fan
+        entry = self._tiers[slot_request.tier].push(slot_request, self._pushed, cost, now_s)
+        self._entries[slot_request.slot_request_id] = entry
+        self._load[slot_request.tier] += 1.0 / slot_request.fan
 
-    def discard(self, ask_id: str) -> Ask | None:
-        """Remove an ask from wherever it is and return it, or None if it is not queued."""
-        entry = self._entries.pop(ask_id, None)
+    def discard(self, slot_request_id: str) -> SlotRequest | None:
+        """Remove a slot request from wherever it is and return it, or None if it is not queued."""
+        entry = self._entries.pop(slot_request_id, None)
         if entry is None:
             return None
-        entry.gone = True
-        self._load[entry.ask.tier] -= 1.0 / entry.ask.fan
-        return entry.ask
+        entry.removed = True
+        self._load[entry.slot_request.tier] -= 1.0 / entry.slot_request.fan
+        return entry.slot_request
 
     def next_tier(self) -> Tier | None:
         """Return the tier that is served next, or None if nothing waits."""
         waiting = [tier for tier in Tier if self._tiers[tier].peek() is not None]
         if not waiting:
             return None
-        owed = [tier for tier in waiting[1:] if self._passed[tier] >= MIN_SHARE_GRANTS]
-        return max(owed, key=lambda tier: self._passed[tier], default=waiting[0])
+        owed = [tier for tier in waiting[1:] if self._passed_over[tier] >= MIN_SHARE_GRANTS]
+        return max(owed, key=lambda tier: self._passed_over[tier], default=waiting[0])
 
-    def peek(self, tier: Tier) -> Ask | None:
-        """Return the ask of a tier that is next, or None."""
+    def peek(self, tier: Tier) -> SlotRequest | None:
+        """Return the slot request of a tier that is next, or None."""
         entry = self._tiers[tier].peek()
-        return entry.ask if entry is not None else None
+        return entry.slot_request if entry is not None else None
 
-    def pop(self, tier: Tier) -> Ask:
-        """Remove and return the next ask of a tier, and note which tiers were passed over."""
+    def pop(self, tier: Tier) -> SlotRequest:
+        """Remove and return the next slot request of a tier; count lower tiers passed over."""
         entry = self._tiers[tier].pop()
-        del self._entries[entry.ask.ask_id]
-        self._load[tier] -= 1.0 / entry.ask.fan
-        self._passed[tier] = 0
+        del self._entries[entry.slot_request.slot_request_id]
+        self._load[tier] -= 1.0 / entry.slot_request.fan
+        self._passed_over[tier] = 0
         for lower in Tier:
             if lower > tier and self._tiers[lower].peek() is not None:
-                self._passed[lower] += 1
-        return entry.ask
+                self._passed_over[lower] += 1
+        return entry.slot_request
 
     def load_ahead(self, tier: Tier) -> float:
-        """Return how many asks a new ask of the tier would find ahead of it.
+        """Return how many slot requests a new slot request of the tier would find ahead of it.
 
-        An ask that waits at several endpoints counts for its part at each.
+        A slot request that waits at several endpoints counts for its part at each.
         """
         return sum(self._load[other] for other in Tier if other <= tier)
 
-    def waiting(self) -> list[Ask]:
-        """Return the waiting asks."""
-        return [entry.ask for entry in self._entries.values()]
+    def waiting(self) -> list[SlotRequest]:
+        """Return the waiting slot requests."""
+        return [entry.slot_request for entry in self._entries.values()]
 
-    def below(self, tier: Tier) -> list[Ask]:
-        """Return the waiting asks of lower tiers, the lowest tier first."""
-        asks = [entry.ask for entry in self._entries.values() if entry.ask.tier > tier]
-        return sorted(asks, key=lambda ask: -ask.tier)
+    def below(self, tier: Tier) -> list[SlotRequest]:
+        """Return the waiting slot requests of lower tiers, the lowest tier first."""
+        slot_requests = [
+            entry.slot_request for entry in self._entries.values() if entry.slot_request.tier > tier
+        ]
+        return sorted(slot_requests, key=lambda slot_request: -slot_request.tier)
 
-    def expired(self, now_s: float) -> list[Ask]:
-        """Return the asks whose wait has ended."""
-        return [entry.ask for entry in self._entries.values() if entry.expires_s <= now_s]
+    def expired(self, now_s: float) -> list[SlotRequest]:
+        """Return the slot requests whose wait has ended."""
+        return [entry.slot_request for entry in self._entries.values() if entry.expires_s <= now_s]
 
     def is_late(self, tier: Tier, now_s: float) -> bool:
-        """Return whether the next ask of a tier used up LATE_TARGET_SHARE of its target."""
+        """Return whether a tier's next slot request has used up LATE_TARGET_SHARE of its target."""
         entry = self._tiers[tier].peek()
         return entry is not None and entry.late_s <= now_s
 
-    def late(self, now_s: float) -> list[Ask]:
-        """Return the asks that used up LATE_TARGET_SHARE of their latency target, urgent first."""
-        asks = [entry.ask for entry in self._entries.values() if entry.late_s <= now_s]
-        return sorted(asks, key=lambda ask: ask.tier)
+    def late(self, now_s: float) -> list[SlotRequest]:
+        """Return the slot requests that have used up LATE_TARGET_SHARE, the highest tier first."""
+        slot_requests = [
+            entry.slot_request for entry in self._entries.values() if entry.late_s <= now_s
+        ]
+        return sorted(slot_requests, key=lambda slot_request: slot_request.tier)
--- a/packages/springbridge/springbridge/classes/slots/pending_asks.py
+++ b/packages/springbridge/springbridge/classes/slots/pending_asks.py
@@ -1,17 +1,17 @@
-"""The attempts that wait for a slot, the slots held, and the ask of an attempt at one endpoint."""
+"""Records of the entry node: attempts that wait for a slot, slots in use, and slot requests."""
 
 import asyncio
 from dataclasses import dataclass, field
 
 from returns.result import Result
 
-from springbridge.classes.decisions import Ask
+from springbridge.classes.decisions import SlotRequest
 from springbridge.classes.entities import Endpoint, Tier
 from springbridge.classes.ports import Attempt, Slot
 from springbridge.problems import Problem
 
-# Least that is left of a latency target, in seconds, since schedulers take shares of it. An ask
-# that has used up its target then counts as late almost at once.
+# Lower bound of the remaining latency target; it must stay above zero because schedulers take
+# shares of it. A slot request that has used up its target then counts as late almost at once.
 SHORTEST_TARGET_S = 0.001
 
 
@@ -22,16 +22,16 @@
     Attributes:
       granted: Gets the slot, or the problem that refuses the attempt.
       started_s: When the attempt began.
-      asks: Asks without a decision, or queued, by id.
-      asked: Names of the endpoints that were asked.
-      refusals: Times to come back, in seconds, by endpoint that refused.
-      timers: To be cancelled at the end.
+      slot_requests: Slot requests without a decision, or queued, by id.
+      asked: Names of the endpoints at which a slot was requested.
+      refusals: Seconds after which to retry, by endpoint that refused.
+      timers: Cancelled when the attempt has its result.
     """
 
     attempt: Attempt
     granted: "asyncio.Future[Result[Slot, Problem]]"
     started_s: float
-    asks: dict[str, Ask] = field(default_factory=dict)
+    slot_requests: dict[str, SlotRequest] = field(default_factory=dict)
     asked: set[str] = field(default_factory=set)
     refusals: dict[str, float] = field(default_factory=dict)
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
@@ -42,41 +42,41 @@
     """A slot in use.
 
     Attributes:
-      ask: The ask that got it.
-      scheduler: Incarnation that schedules the endpoint, or None if nobody is known to.
+      slot_request: The slot request that got it.
+      scheduler: Incarnation of the node that schedules the endpoint; None if none is known.
       preempted: Set when the scheduler takes the slot back.
     """
 
-    ask: Ask
+    slot_request: SlotRequest
     scheduler: str | None
     preempted: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 @dataclass(frozen=True)
-class AskTerms:
-    """What differs between the asks of one attempt.
+class SlotRequestTerms:
+    """What differs between the slot requests of one attempt.
 
     Attributes:
       node: Incarnation of the entry node.
-      fan: Endpoints at which the attempt asks at the same time.
-      primary: Whether it is the first of them.
+      fan: Endpoints at which the attempt requests a slot at the same time.
+      primary: Whether it is the attempt's first slot request.
     """
 
-    ask_id: str
+    slot_request_id: str
     node: str
     endpoint: Endpoint
     fan: int
     primary: bool
 
 
-def ask_for(pending: Pending, terms: AskTerms, now_s: float) -> Ask:
-    """Return the ask of an attempt at one endpoint."""
+def slot_request_for(pending: Pending, terms: SlotRequestTerms, now_s: float) -> SlotRequest:
+    """Return the slot request of an attempt at one endpoint."""
     request = pending.attempt.request
     request_class = request.request_class
     first_s = request_class.first_token_ms / 1000
     target_s = first_s - (now_s - request.arrived_s)
-    return Ask(
-        ask_id=terms.ask_id,
+    return SlotRequest(
+        slot_request_id=terms.slot_request_id,
         node=terms.node,
         endpoint=terms.endpoint.name,
         request_class=request_class.name,
--- a/packages/springbridge/springbridge/classes/slots/preemption_test.py
+++ b/packages/springbridge/springbridge/classes/slots/preemption_test.py
@@ -9,17 +9,17 @@
 from springbridge.classes.slots.preemption import (
     PREEMPT_TARGET_SHARE,
     choose_victim,
-    is_due,
-    yielding_below,
+    preemptible_below,
+    preempts_before_late,
 )
 
 
 @pytest.fixture
-def run(make_ask):
+def run(make_slot_request):
     """Return a function that makes work which holds a slot."""
 
     def make(name, tier, since_s=0.0, stopping=False, **fields):
-        return Running(make_ask(name, tier, **fields), since_s, 10.0, stopping)
+        return Running(make_slot_request(name, tier, **fields), since_s, 10.0, stopping)
 
     return make
 
@@ -30,7 +30,9 @@
         run("young", Tier.BULK, 2.0),
         run("younger but standard", Tier.STANDARD, 3.0),
     ]
-    assert_that(choose_victim(running, Tier.URGENT, 1.0).ask.ask_id, Equals("young"))
+    assert_that(
+        choose_victim(running, Tier.URGENT, 1.0).slot_request.slot_request_id, Equals("young")
+    )
 
 
 @pytest.mark.parametrize("tier", Tier)
@@ -47,12 +49,23 @@
 def test_one_slot_that_is_given_back_serves_one_ask(run):
     running = [run("stopping", Tier.BULK, stopping=True), run("other", Tier.BULK)]
     assert_that(choose_victim(running, Tier.URGENT, 1.0), Is(None))
-    assert_that(choose_victim(running, Tier.URGENT, 2.0).ask.ask_id, Equals("other"))
-    assert_that([one.ask.ask_id for one in yielding_below(running, Tier.URGENT)], Equals(["other"]))
+    assert_that(
+        choose_victim(running, Tier.URGENT, 2.0).slot_request.slot_request_id, Equals("other")
+    )
+    assert_that(
+        [one.slot_request.slot_request_id for one in preemptible_below(running, Tier.URGENT)],
+        Equals(["other"]),
+    )
 
 
-def test_ask_preempts_early_at_its_first_endpoint_only(make_ask):
+def test_ask_preempts_early_at_its_first_endpoint_only(make_slot_request):
     wait_s = PREEMPT_TARGET_SHARE + 0.01
-    assert_that(is_due(make_ask("first", target_s=1.0), wait_s), Is(True))
-    assert_that(is_due(make_ask("first", target_s=1.0), PREEMPT_TARGET_SHARE), Is(False))
-    assert_that(is_due(make_ask("second", target_s=1.0, primary=False), wait_s), Is(False))
+    assert_that(preempts_before_late(make_slot_request("first", target_s=1.0), wait_s), Is(True))
+    assert_that(
+        preempts_before_late(make_slot_request("first", target_s=1.0), PREEMPT_TARGET_SHARE),
+        Is(False),
+    )
+    assert_that(
+        preempts_before_late(make_slot_request("second", target_s=1.0, primary=False), wait_s),
+        Is(False),
+    )
--- a/packages/springbridge/springbridge/classes/slots/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -5,23 +5,22 @@
 nodes.
 
 The rules, in order:
-  1. A free slot goes to the next ask in fair order (fair_queue.py) that the endpoint has room for
-     (endpoint_slots.py).
-  2. An ask that would wait too long for its latency target makes lower-tier work give way
+  1. A free slot goes to the next slot request in fair order (fair_queue.py) that the endpoint has
+     room for (endpoint_slots.py).
+  2. A slot request that would wait too long for its latency target makes lower-tier work give way
      (preemption.py).
-  3. Before a top-tier ask is refused, all preemptible lower-tier work has been preempted and all
-     waiting lower-tier asks have been refused; INVARIANT_TOP_TIER asserts that. Lower tiers then
-     move through the extra slot of the minimum share (minimum_share.py).
+  3. Before a top-tier slot request is refused, all preemptible lower-tier work has been preempted
+     and all waiting lower-tier slot requests have been refused; INVARIANT_TOP_TIER asserts that.
+     Lower tiers then move through the extra slot of the minimum share (minimum_share.py).
   4. Below the top tier, work that may not be preempted never takes the last slot of an endpoint.
-  5. An ask whose predicted wait is longer than it may wait is refused at once, because it would
-     only delay those behind it.
+  5. A slot request whose predicted wait is longer than it may wait is refused at once, because it
+     would only delay those behind it.
 """
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import replace
 
 from springbridge.classes.decisions import (
-    Ask,
     Decision,
     Grant,
     Inventory,
@@ -30,13 +29,18 @@
     Refusal,
     Release,
     Sample,
+    SlotRequest,
 )
 from springbridge.classes.entities import Tier
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.retry_times import after_wait
 from springbridge.classes.slots.endpoint_slots import EndpointSlots, Running
 from springbridge.classes.slots.fair_queue import FairQueue
-from springbridge.classes.slots.preemption import choose_victim, is_due, yielding_below
+from springbridge.classes.slots.preemption import (
+    choose_victim,
+    preemptible_below,
+    preempts_before_late,
+)
 from springbridge.hashing import owner
 
 INVARIANT_TOP_TIER = "top tier refused last"
@@ -63,7 +67,7 @@
 
     Attributes:
       endpoint: Name of the endpoint.
-      queue: The asks that wait.
+      queue: The slot requests that wait.
       slots: The slots and what is learnt about them; running, limits and health are parts of it.
     """
 
@@ -92,159 +96,184 @@
         self._clock = clock
         self._invariants = invariants
 
-    def ask(self, ask: Ask) -> list[Decision]:
-        """Take in an ask and return the decisions that follow from it."""
+    def request_slot(self, slot_request: SlotRequest) -> list[Decision]:
+        """Take in a slot request and return the decisions that follow from it."""
         now_s = self._clock()
-        self.limits.know_target(ask.tier, ask.request_class, ask.between_s)
-        if ask.ask_id in self.running:
-            return [self._grant(ask)]
-        if ask.ask_id in self.queue:
-            return [Queued(ask.ask_id, ask.node, self.slots.queued_wait_s(ask, now_s))]
-        if ask.tier is not Tier.URGENT and self.slots.share.pressed(now_s):
-            return [self._ask_under_pressure(ask, now_s)]
-        self.queue.push(ask, self.slots.tokens(ask), now_s)
+        self.limits.set_target(
+            slot_request.tier, slot_request.request_class, slot_request.between_s
+        )
+        if slot_request.slot_request_id in self.running:
+            return [self._grant(slot_request)]
+        if slot_request.slot_request_id in self.queue:
+            return [
+                Queued(
+                    slot_request.slot_request_id,
+                    slot_request.node,
+                    self.slots.queued_wait_s(slot_request, now_s),
+                )
+            ]
+        if slot_request.tier is not Tier.URGENT and self.slots.share.is_overloaded(now_s):
+            return [self._decide_under_overload(slot_request, now_s)]
+        self.queue.push(slot_request, self.slots.tokens(slot_request), now_s)
         decisions = list(self._grant_free_slots(now_s))
-        if ask.ask_id in self.queue:
-            decisions += self._place_waiting(ask, now_s)
-        if ask.ask_id in self.queue:
-            decisions.append(Queued(ask.ask_id, ask.node, self.slots.queued_wait_s(ask, now_s)))
+        if slot_request.slot_request_id in self.queue:
+            decisions += self._place_waiting(slot_request, now_s)
+        if slot_request.slot_request_id in self.queue:
+            decisions.append(
+                Queued(
+                    slot_request.slot_request_id,
+                    slot_request.node,
+                    self.slots.queued_wait_s(slot_request, now_s),
+                )
+            )
         return decisions
 
-    def hold(self, ask: Ask) -> None:
+    def hold(self, slot_request: SlotRequest) -> None:
         """Take over a slot that the endpoint's former scheduler gave."""
-        if ask.ask_id not in self.running:
-            self.slots.hold(ask, self._clock())
+        if slot_request.slot_request_id not in self.running:
+            self.slots.hold(slot_request, self._clock())
 
     def release(self, release: Release) -> list[Decision]:
-        """Take a slot back, learn from how it was used and grant it to the next ask."""
+        """Take a slot back, learn from how it was used and grant it to the next slot request."""
         now_s = self._clock()
-        running = self.running.get(release.ask_id)
+        running = self.running.get(release.slot_request_id)
         if running is None:
-            return self._withdraw(release.ask_id, now_s)
+            return self._withdraw(release.slot_request_id, now_s)
         self.slots.learn_latency(running, release.sample, now_s)
-        self.slots.free(release.ask_id)
+        self.slots.free(release.slot_request_id)
         self.slots.learn_outcome(running, release, now_s)
         return list(self._grant_free_slots(now_s))
 
     def sample(self, sample: Sample) -> None:
         """Learn from a slot that is still in use."""
-        running = self.running.get(sample.ask_id)
+        running = self.running.get(sample.slot_request_id)
         if running is not None:
             self.slots.learn_latency(running, sample, self._clock())
 
     def drop_node(self, node: str) -> list[Decision]:
-        """Forget the asks and slots of an entry node that is gone."""
-        for ask in [ask for ask in self.queue.waiting() if ask.node == node]:
-            self.queue.discard(ask.ask_id)
-        for running in [run for run in self.running.values() if run.ask.node == node]:
-            self.slots.free(running.ask.ask_id)
+        """Forget the slot requests and slots of an entry node that is gone."""
+        for slot_request in [
+            slot_request for slot_request in self.queue.waiting() if slot_request.node == node
+        ]:
+            self.queue.discard(slot_request.slot_request_id)
+        for running in [run for run in self.running.values() if run.slot_request.node == node]:
+            self.slots.free(running.slot_request.slot_request_id)
         return list(self._grant_free_slots(self._clock()))
 
     def take_inventory(self, inventory: Inventory) -> list[Decision]:
         """Free the slots that a node no longer has here, whose releases were lost on the way."""
         now_s = self._clock()
-        kept = set(inventory.ask_ids)
+        kept = set(inventory.slot_request_ids)
         lost = [
-            ask_id
-            for ask_id, run in self.running.items()
-            if run.ask.node == inventory.node
-            and ask_id not in kept
+            slot_request_id
+            for slot_request_id, run in self.running.items()
+            if run.slot_request.node == inventory.node
+            and slot_request_id not in kept
             and now_s - run.since_s > INVENTORY_LAG_S
         ]
-        for ask_id in lost:
-            self.slots.free(ask_id)
+        for slot_request_id in lost:
+            self.slots.free(slot_request_id)
         return list(self._grant_free_slots(now_s))
 
     def tick(self) -> list[Decision]:
-        """Grant slots that time has freed, refuse asks whose wait ended, preempt for late ones."""
+        """Grant slots that became usable, refuse expired slot requests, preempt for late ones."""
         if not len(self.queue):
             return []
         now_s = self._clock()
         decisions: list[Decision] = list(self._grant_free_slots(now_s))
-        for ask in self.queue.expired(now_s):
-            if ask.ask_id in self.queue:
-                decisions += self._give_up(ask, now_s)
-        for ask in self.queue.late(now_s):
-            preemption = self._preempt_for(ask)
+        for slot_request in self.queue.expired(now_s):
+            if slot_request.slot_request_id in self.queue:
+                decisions += self._give_up(slot_request, now_s)
+        for slot_request in self.queue.late(now_s):
+            preemption = self._preempt_for(slot_request)
             if preemption is not None:
                 decisions.append(preemption)
         return decisions
 
     def nodes(self) -> set[str]:
-        """Return the entry nodes that have asks or slots here."""
-        asks = [run.ask for run in self.running.values()] + self.queue.waiting()
-        return {ask.node for ask in asks}
-
-    def ask_ids(self) -> set[str]:
-        """Return the ids of all asks and slots."""
-        return set(self.running) | {ask.ask_id for ask in self.queue.waiting()}
-
-    # An ask that found no free slot.
-
-    def _place_waiting(self, ask: Ask, now_s: float) -> Iterator[Decision]:
-        """Preempt for a waiting ask, or refuse it if its wait would be too long."""
-        wait_s = self.slots.queued_wait_s(ask, now_s)
-        too_long = wait_s > ask.max_wait_s
-        if too_long or (is_due(ask, wait_s) and self.slots.is_one_short(ask.tier, now_s)):
-            preemption = self._preempt_for(ask)
+        """Return the entry nodes that have slot requests or slots here."""
+        slot_requests = [run.slot_request for run in self.running.values()] + self.queue.waiting()
+        return {slot_request.node for slot_request in slot_requests}
+
+    def slot_request_ids(self) -> set[str]:
+        """Return the ids of all slot requests and slots."""
+        return set(self.running) | {
+            slot_request.slot_request_id for slot_request in self.queue.waiting()
+        }
+
+    # A slot request that found no free slot.
+
+    def _place_waiting(self, slot_request: SlotRequest, now_s: float) -> Iterator[Decision]:
+        """Preempt for a waiting slot request, or refuse it if its wait would be too long."""
+        wait_s = self.slots.queued_wait_s(slot_request, now_s)
+        too_long = wait_s > slot_request.max_wait_s
+        if too_long or (
+            preempts_before_late(slot_request, wait_s)
+            and self.slots.is_one_short(slot_request.tier, now_s)
+        ):
+            preemption = self._preempt_for(slot_request)
             if preemption is not None:
                 yield preemption
                 return
         if too_long:
-            yield from self._give_up(ask, now_s)
+            yield from self._give_up(slot_request, now_s)
 
-    def _preempt_for(self, ask: Ask) -> Preemption | None:
-        """Tell the work that gives way to an ask to stop, if there is any."""
-        asks_ahead = self.queue.load_ahead(ask.tier)
-        victim = choose_victim(self.running.values(), ask.tier, asks_ahead)
+    def _preempt_for(self, slot_request: SlotRequest) -> Preemption | None:
+        """Tell the work that gives way to a slot request to stop, if there is any."""
+        requests_ahead = self.queue.load_ahead(slot_request.tier)
+        victim = choose_victim(self.running.values(), slot_request.tier, requests_ahead)
         if victim is None:
             return None
-        self._invariants.check(INVARIANT_TIER_ORDER, victim.ask.tier > ask.tier, self.endpoint)
+        self._invariants.check(
+            INVARIANT_TIER_ORDER, victim.slot_request.tier > slot_request.tier, self.endpoint
+        )
         return _preempt(victim)
 
-    def _give_up(self, ask: Ask, now_s: float) -> Iterator[Decision]:
-        """Refuse a waiting ask; one of the top tier after all lower tiers have made way."""
-        if ask.tier is Tier.URGENT:
-            self.slots.share.press(now_s)
+    def _give_up(self, slot_request: SlotRequest, now_s: float) -> Iterator[Decision]:
+        """Refuse a waiting slot request; for one of the top tier, first clear all lower tiers."""
+        if slot_request.tier is Tier.URGENT:
+            self.slots.share.note_top_tier_refusal(now_s)
             yield from self._refuse_below(Tier.URGENT)
             yield from self._preempt_below(Tier.URGENT)
             self._check_top_tier()
-        yield self._refuse(ask)
+        yield self._refuse(slot_request)
 
     def _refuse_below(self, tier: Tier) -> Iterator[Refusal]:
-        """Refuse all waiting asks of lower tiers, the lowest first."""
+        """Refuse all waiting slot requests of lower tiers, the lowest first."""
         for lower in self.queue.below(tier):
             yield self._refuse(lower)
 
     def _preempt_below(self, tier: Tier) -> Iterator[Preemption]:
         """Tell all preemptible work of lower tiers to stop."""
-        for run in yielding_below(self.running.values(), tier):
+        for run in preemptible_below(self.running.values(), tier):
             yield _preempt(run)
 
-    def _refuse(self, ask: Ask) -> Refusal:
-        self.queue.discard(ask.ask_id)
-        wait_s = self.slots.predicted_wait_s(ask.tier, self._clock())
-        return Refusal(ask.ask_id, ask.node, after_wait(wait_s))
-
-    def _ask_under_pressure(self, ask: Ask, now_s: float) -> Decision:
-        """Give a lower-tier ask the extra slot or refuse it at once, as it may not wait."""
-        suspended = self.slots.for_tier(ask.tier, now_s) == 0
-        if suspended or not self.slots.share.claim(ask.ask_id, ask.request_class, now_s):
-            return self._refuse(ask)
-        self.slots.hold(replace(ask, preemptible=False), now_s)
-        return self._grant(ask)
+    def _refuse(self, slot_request: SlotRequest) -> Refusal:
+        self.queue.discard(slot_request.slot_request_id)
+        wait_s = self.slots.predicted_wait_s(slot_request.tier, self._clock())
+        return Refusal(slot_request.slot_request_id, slot_request.node, after_wait(wait_s))
+
+    def _decide_under_overload(self, slot_request: SlotRequest, now_s: float) -> Decision:
+        """Give a lower-tier request the extra slot, or refuse it at once since it may not wait."""
+        suspended = self.slots.for_tier(slot_request.tier, now_s) == 0
+        if suspended or not self.slots.share.claim(
+            slot_request.slot_request_id, slot_request.request_class, now_s
+        ):
+            return self._refuse(slot_request)
+        self.slots.hold(replace(slot_request, preemptible=False), now_s)
+        return self._grant(slot_request)
 
     def _check_top_tier(self) -> None:
         """Assert that nothing of a lower tier waits or could still be preempted."""
         waiting = self.queue.below(Tier.URGENT)
-        yielding = yielding_below(self.running.values(), Tier.URGENT)
-        holds = not waiting and not yielding
+        still_preemptible = preemptible_below(self.running.values(), Tier.URGENT)
+        holds = not waiting and not still_preemptible
         self._invariants.check(INVARIANT_TOP_TIER, holds, self.endpoint)
 
     # Granting slots.
 
     def _grant_free_slots(self, now_s: float) -> Iterator[Grant]:
-        """Grant free slots in fair order, past tiers whose next ask does not fit."""
+        """Grant free slots in fair order, past tiers whose next slot request does not fit."""
         blocked: set[Tier] = set()
         while True:
             tier = self._next_tier(blocked)
@@ -256,31 +285,33 @@
                 blocked.add(tier)
 
     def _next_tier(self, blocked: set[Tier]) -> Tier | None:
-        """Return the tier to serve next, leaving out those whose next ask does not fit."""
+        """Return the tier to serve next, leaving out those whose next slot request does not fit."""
         tier = self.queue.next_tier()
         if tier is None or tier not in blocked:
             return tier
         others = (lower for lower in Tier if lower not in blocked and self.queue.peek(lower))
         return next(others, None)
 
-    def _start(self, ask: Ask, now_s: float) -> Grant:
-        self.slots.hold(ask, now_s)
-        if ask.is_fixed:
+    def _start(self, slot_request: SlotRequest, now_s: float) -> Grant:
+        self.slots.hold(slot_request, now_s)
+        if slot_request.is_unpreemptible_lower_tier:
             self._check_last_slot()
-        return self._grant(ask)
+        return self._grant(slot_request)
 
-    def _grant(self, ask: Ask) -> Grant:
-        used_share = self.slots.used() / max(1, self.slots.for_tier(ask.tier, self._clock()))
-        return Grant(ask.ask_id, ask.node, self._me, used_share)
+    def _grant(self, slot_request: SlotRequest) -> Grant:
+        used_share = self.slots.used() / max(
+            1, self.slots.for_tier(slot_request.tier, self._clock())
+        )
+        return Grant(slot_request.slot_request_id, slot_request.node, self._me, used_share)
 
     def _check_last_slot(self) -> None:
         """Assert that work which may not be preempted leaves a slot to the top tier."""
-        holds = self.slots.fixed_below_top() < self.slots.beside_fixed()
+        holds = self.slots.unpreemptible_lower_tier_used() < self.slots.slots_with_one_reserved()
         self._invariants.check(INVARIANT_LAST_SLOT, holds, self.endpoint)
 
-    def _withdraw(self, ask_id: str, now_s: float) -> list[Decision]:
-        """Drop an ask that still waits."""
-        if self.queue.discard(ask_id) is None:
+    def _withdraw(self, slot_request_id: str, now_s: float) -> list[Decision]:
+        """Drop a slot request that still waits."""
+        if self.queue.discard(slot_request_id) is None:
             return []
         return list(self._grant_free_slots(now_s))
 
@@ -288,4 +319,4 @@
 def _preempt(run: Running) -> Preemption:
     """Mark work as told to stop and return the message that says so."""
     run.stopping = True
-    return Preemption(run.ask.ask_id, run.ask.node)
+    return Preemption(run.slot_request.slot_request_id, run.slot_request.node)
--- a/packages/springbridge/springbridge/conftest.py
+++ b/packages/springbridge/springbridge/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from springbridge.classes.decisions import Ask
+from springbridge.classes.decisions import SlotRequest
 from springbridge.classes.entities import Tier
 from springbridge.classes.invariants import Invariants
 
@@ -33,8 +33,8 @@
     raise ViolatedError(f"{name}: {detail}")
 
 
-PLAIN_ASK = Ask(
-    ask_id="ask",
+PLAIN_SLOT_REQUEST = SlotRequest(
+    slot_request_id="ask",
     node="node-1",
     endpoint="engine-1",
     request_class="claims",
@@ -65,12 +65,12 @@
 
 
 @pytest.fixture
-def make_ask():
-    """Return a function that makes asks; what is not named is as in PLAIN_ASK."""
+def make_slot_request():
+    """Return a function that makes slot requests; what is not named is as in PLAIN_SLOT_REQUEST."""
 
-    def make(ask_id: str, tier: Tier = Tier.URGENT, **fields) -> Ask:
+    def make(slot_request_id: str, tier: Tier = Tier.URGENT, **fields) -> SlotRequest:
         fields.setdefault("preemptible", tier is not Tier.URGENT)
         fields.setdefault("request_class", tier.name.lower())
-        return replace(PLAIN_ASK, ask_id=ask_id, tier=tier, **fields)
+        return replace(PLAIN_SLOT_REQUEST, slot_request_id=slot_request_id, tier=tier, **fields)
 
     return make
