--- a/packages/springbridge/springbridge/classes/binding.py
+++ b/packages/springbridge/springbridge/classes/binding.py
@@ -1,13 +1,17 @@
-"""At most once: may an attempt of this request leave for an endpoint, and was it certainly not run?
-
-Decided: whether an attempt of a request that is not repeatable may start, and whether "not run" may
-be promised. Inputs: the id, customer and class of the sender, the record of the id at its home, and
-two clocks in seconds. Outcome: the attempt is recorded as dispatched, or refused with a problem.
-Why: only the home runs such a request, and begin_dispatch checks and records in one step without a
-pause, before the first byte leaves, so no order of events lets two attempts start. A request that
-was refused once, or handed over to another node, stays refused here for ever; its record is kept
-KEEP_S, and an id that is too old for its record to be certain is refused by its age. Ways weighed:
-docs/design/at-most-once.md; no measurement set the constants.
+"""At-most-once execution: records how far each request has come at its home node.
+
+A request that is not repeatable may run only at its home, the node that its id names, so that a
+retry never runs it twice.
+Decides whether an attempt of such a request may be sent to an endpoint, and whether the caller may
+be promised that the request was not run.
+Inputs: the request id, the sender's customer and class, the home's record of the id, and two clocks
+in seconds.
+Result: the attempt is recorded as dispatched, or refused with a Problem.
+begin_dispatch checks and records in one step without yielding to the event loop, before the first
+byte is sent, so no order of events lets two attempts start. A request that was refused once, or
+handed over to another node, stays refused here for good. Its record is kept for KEEP_S; an id so
+old that its record may be gone is refused because of its age. Alternatives are discussed in
+docs/design/at-most-once.md.
 """
 
 from collections import OrderedDict
@@ -22,27 +26,27 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
-# How long the record of a request that ended is kept. It takes 297 B a record, so 3.9 MB at 22
-# requests a second.
+# How long the record of an ended request is kept. A record takes 297 B, so 22 requests a second
+# take 3.9 MB.
 KEEP_S = 600.0
-# How far the wall clock may be wrong when the age of an id is judged. Derived from it: an id is
-# refused from KEEP_S less this on, before its record can have been forgotten.
+# Tolerated error of the wall clock by which the age of an id is computed. An id is refused once it
+# is older than KEEP_S less this tolerance, so before its record can have been dropped.
 ISSUED_SLACK_S = 60.0
 
 INVARIANT_AT_MOST_ONCE = "not repeatable runs at most once"
 INVARIANT_NOT_RUN = "not run means never dispatched"
 
-assert ISSUED_SLACK_S < KEEP_S, "a new id would count as too old"
+assert ISSUED_SLACK_S < KEEP_S, "ISSUED_SLACK_S must be below KEEP_S, or a new id counts as too old"
 
 
 class Stage(IntEnum):
-    """How far a request has come at its home; the numbers go to peers.
+    """Stage of a request at its home; the numbers are sent to peers.
 
     Attributes:
-      WAITING: No attempt is out.
+      WAITING: No attempt has been sent to an endpoint.
       DISPATCHED: An attempt may have reached an endpoint.
-      FINISHED: It ended and may have run.
-      REFUSED: It was promised that it was not run, so it never will be.
+      FINISHED: The request ended and may have run.
+      REFUSED: The caller was promised that the request was not run, so it never will be.
       MOVED: Another node became its home.
     """
 
@@ -55,16 +59,16 @@
 
 @dataclass
 class Record:
-    """What a home knows about one request.
+    """A home node's record of one request.
 
     Attributes:
-      owner: Customer and class of the first sender; a second sender must be the same. An empty one,
-        from a peer that sent none, matches any sender.
-      last_used_s: When it was last used, on the monotonic clock; its age counts from then.
-      moved_to: Incarnation of the node that became home instead, in stage MOVED.
-      dispatches: Attempts that may have reached an endpoint and were not turned away by it.
-      problem: The final problem, where the request ended with one.
-      fresh: Whether nobody has begun to work on the request.
+      owner: Customer and class of the first sender; later senders must match. An empty owner, from
+        a peer that sent none, matches any sender.
+      last_used_s: When the record was last used, on the monotonic clock; its age counts from then.
+      moved_to: In stage MOVED, the incarnation of the node that has become the home.
+      dispatches: Attempts that may have reached an endpoint and that it did not reject.
+      problem: The final problem; None if the request has not ended or ended without one.
+      fresh: Whether no work on the request has begun.
       running: Attempts of a repeatable request that are under way.
     """
 
@@ -102,7 +106,7 @@
         return len(self._records)
 
     def admit(self, request_id: RequestId, owner: str) -> Result[Record, Problem]:
-        """Record a request that arrived here, or return the record that it has already.
+        """Return the record of a request that arrived here, adding it if there is none.
 
         Args:
           owner: Customer and class of the sender.
@@ -112,10 +116,12 @@
         return self._find_or_add(request_id, owner, Stage.WAITING)
 
     def hand_over(self, request_id: RequestId, owner: str, node: str) -> Result[Record, Problem]:
-        """Answer a node that holds a retry; a request never seen here becomes that node's for good.
+        """Return the record for another node that got a retry of the request.
+
+        If this node has never seen the request, the other node becomes its home for good.
 
         Args:
-          node: Incarnation of the node that holds the retry.
+          node: Incarnation of the node that got the retry.
         Returns:
           As for admit().
         """
@@ -126,7 +132,7 @@
         return self._records.get(request_id)
 
     def begin_dispatch(self, request_id: str) -> Result[None, Problem]:
-        """Record that an attempt is about to leave for an endpoint, or refuse it."""
+        """Record that an attempt is about to be sent to an endpoint, or refuse it."""
         record = self._records[request_id]
         if record.stage is not Stage.WAITING:
             return Failure(record.problem or Problem(Code.OUTCOME_UNKNOWN))
@@ -136,7 +142,7 @@
         return Success(None)
 
     def undo_dispatch(self, request_id: str) -> None:
-        """Record that the endpoint turned the attempt away before starting it."""
+        """Record that the endpoint rejected the attempt before starting it."""
         record = self._records[request_id]
         record.stage = Stage.WAITING
         record.dispatches -= 1
@@ -153,10 +159,11 @@
             record.stage = Stage.FINISHED
 
     def refuse(self, request_id: RequestId, owner: str) -> bool:
-        """Refuse a request for ever.
+        """Refuse a request for good, if no work on it has begun.
 
         Returns:
-          Whether "not run" can be promised; not if it is under way or has ended in another way.
+          Whether the caller may be promised that it was not run; False if it is running or has
+          ended in another way.
         """
         match self.admit(request_id, owner):
             case Success(record) if record.stage is Stage.REFUSED:
@@ -168,7 +175,7 @@
         return False
 
     def open_repeatable(self, request_id: RequestId, owner: str) -> Result[None, Problem]:
-        """Record that a repeatable request starts here; one that was refused stays refused."""
+        """Record that a repeatable request starts here, unless it was refused before."""
         match self.admit(request_id, owner):
             case Failure(problem):
                 return Failure(problem)
@@ -183,8 +190,8 @@
         """Record how a repeatable request ended.
 
         Returns:
-          Whether its problem stands; "not run" does not if another attempt under the id has run or
-          still may.
+          Whether its problem may be passed on. A problem that promises "not run" may not if another
+          attempt under the same id has run or may still run.
         """
         record = self._records[request_id]
         record.running -= 1
@@ -200,7 +207,7 @@
     def _find_or_add(
         self, request_id: RequestId, owner: str, stage: Stage, moved_to: str = ""
     ) -> Result[Record, Problem]:
-        """Return the record of an id, which is made in the given stage if there is none."""
+        """Return the record of an id; add one in the given stage if there is none."""
         self._forget_old()
         record = self._records.get(request_id.text)
         if record is None:
@@ -213,14 +220,14 @@
         return Success(record)
 
     def _too_old(self, request_id: RequestId) -> bool:
-        """Return whether the record of the id may be forgotten already, by the wall clock."""
+        """Return whether the record of the id may have been dropped, judged by the wall clock."""
         if not request_id.home:
             return False
         age_s = self._wall_clock() - request_id.issued_s
         return not -ISSUED_SLACK_S <= age_s <= KEEP_S - ISSUED_SLACK_S
 
     def _forget_old(self) -> None:
-        """Drop records that ended long enough ago, oldest first."""
+        """Drop the records of requests that ended KEEP_S ago or earlier, oldest first."""
         limit_s = self._clock() - KEEP_S
         while self._records:
             name, record = next(iter(self._records.items()))
@@ -232,6 +239,6 @@
                 del self._records[name]
 
     def _mark_used(self, name: str, record: Record) -> None:
-        """Count a record's age from now on."""
+        """Restart a record's age; the dict stays ordered by last use."""
         record.last_used_s = self._clock()
         self._records.move_to_end(name)
