--- a/packages/springbridge/springbridge/classes/endpoint_health.py
+++ b/packages/springbridge/springbridge/classes/endpoint_health.py
@@ -1,20 +1,22 @@
-"""Endpoint health: how many slots of an endpoint may be used after it failed?
+"""Endpoint health: suspends an endpoint that failed several requests in a row.
 
-Decided: whether an endpoint that failed several requests in a row is used. Inputs: failures in a
-row, a monotonic time in seconds and the slots that it has otherwise. Outcome: no slots while it is
-suspended, one slot until a request succeeds, then all of them. Why: a broken endpoint fails fast,
-so it would draw the requests of all entry nodes to itself; one request at a time tests it.
-No measurement set the constants.
+Decides how many slots of an endpoint may be used.
+Inputs: the failures in a row, a monotonic time in seconds, and the number of slots that a healthy
+endpoint would have.
+Result: no slots while the endpoint is suspended, then one slot until a request succeeds, then all.
+A broken endpoint fails fast, so without a suspension it would attract the requests of all entry
+nodes; one request at a time probes it.
 
-The node that schedules the endpoint decides for all nodes; in springbridge.routing each node ejects
-an endpoint by its own count, and uses it fully again once the ejection is over.
+The node that schedules the endpoint decides for all nodes. In springbridge.routing, by contrast,
+each node ejects an endpoint by its own count, and uses it fully once the ejection is over.
 """
 
 from dataclasses import dataclass
 
-# Failures in a row before a suspension. One broken connection does not take an endpoint out of use.
+# Failures in a row that suspend an endpoint. More than one, so that a single broken connection does
+# not take an endpoint out of use.
 FAILURES_TO_SUSPEND = 2
-# Length of the first suspension; it doubles with each failure after that.
+# Length of the first suspension; each further failure doubles it.
 FIRST_SUSPENSION_S = 0.5
 # Longest suspension, and so the longest time for which a repaired endpoint stays unused.
 MAX_SUSPENSION_S = 8.0
@@ -22,11 +24,11 @@
 
 @dataclass
 class EndpointHealth:
-    """The state of one endpoint.
+    """Failures and suspension of one endpoint.
 
     Attributes:
       failures: Failures in a row.
-      suspension_s: How long the next suspension lasts.
+      suspension_s: Length of the next suspension.
       suspended_until_s: When the last suspension ends.
     """
 
@@ -40,12 +42,12 @@
         return self.failures >= FAILURES_TO_SUSPEND
 
     def success(self) -> None:
-        """Note that the endpoint served a request."""
+        """Record a request that the endpoint served; it lifts the suspicion."""
         self.failures = 0
         self.suspension_s = FIRST_SUSPENSION_S
 
     def failure(self, now_s: float) -> None:
-        """Note that the endpoint failed a request."""
+        """Record a request that the endpoint failed; suspend the endpoint if it is suspect."""
         self.failures += 1
         if self.suspect:
             self.suspended_until_s = now_s + self.suspension_s
--- a/packages/springbridge/springbridge/classes/placement.py
+++ b/packages/springbridge/springbridge/classes/placement.py
@@ -1,11 +1,12 @@
-"""Placement: which endpoints may a request use?
-
-Decided: the endpoints that a request of a class and customer may be sent to. Inputs: the failure
-domains that the operators' table allows to the class and to the customer, and each endpoint's
-failure domain and target (model or service). Outcome: the failure domains that both allow, or
-NO_ALLOWED_PLACE; and in these, the endpoints whose target serves the class. Why: the failure
-domains say where a customer's data may be handled, so the rule only narrows, never widens. There
-are no constants.
+"""Placement: selects the endpoints that a request may use.
+
+Decides which endpoints a request of a class and customer may be sent to.
+Inputs: the failure domains that the operators' table allows to the class and to the customer, and
+each endpoint's failure domain and target (model or service).
+Result: the failure domains that both allow, or NO_ALLOWED_PLACE if there are none; then the
+endpoints in them whose target serves the class.
+The failure domains say where a customer's data may be processed, so a class or a customer can only
+narrow the other's choice, never widen it.
 """
 
 from collections.abc import Iterable
@@ -20,10 +21,10 @@
 def allowed_failure_domains(
     request_class: RequestClass, customer: Customer
 ) -> Result[frozenset[str], Problem]:
-    """Return the failure domains that class and customer both allow.
+    """Return the failure domains that both the class and the customer allow.
 
     Returns:
-      The failure domains, or NO_ALLOWED_PLACE where they have none in common.
+      The failure domains, or NO_ALLOWED_PLACE if the two have none in common.
     """
     failure_domains = request_class.failure_domains & customer.failure_domains
     if not failure_domains:
