--- a/packages/springbridge/springbridge/classes/limits.py
+++ b/packages/springbridge/springbridge/classes/limits.py
@@ -1,19 +1,20 @@
-"""Limits and leases: may this node start one more request of a customer and class now?
+"""Rate and concurrency limits that hold over all nodes, by leases from one owner for each limit.
 
-Decided: whether a request starts, so that rate (starts a second) and concurrency (requests running
-at a time) hold for the sum of all nodes. Inputs: the share's limits, the number of live nodes and a
-monotonic time in seconds. Outcome: the request starts, or a refusal names the limit it ran into and
-the seconds after which to come back.
+Decides whether this node may start one more request of a customer and class now, so that the rate
+(starts per second) and the concurrency (requests running at a time) hold for the sum of all nodes.
+Inputs: the limits of the share, the number of live nodes and a monotonic time in seconds.
+Result: the request starts, or a Problem names the limit that was reached and the seconds after
+which to retry.
 
-How: one node owns a limit (rendezvous hashing over the live nodes) and leases starts and
-concurrency to the others, so that an entry node admits without asking. While the owner cannot be
-reached, or is so new that leases of the former owner may still be running, each node admits its
-equal part.
+One node owns a limit (by rendezvous hashing over the live nodes) and leases starts and concurrency
+to the others, so that an entry node admits most requests without a message. While the owner cannot
+be reached, or is so new that leases of the former owner may still be valid, each node admits an
+equal part of the limit.
 
 Error of the sum: at a change of owner, the leases outstanding (LEASE_S of the rate) and the bursts
 of the equal parts and of the new owner's bucket (1.25 BURST_S of the rate); for concurrency, the
 equal parts are rounded up. Otherwise the sum stays within the limit and one burst. limits_test.py
-holds four nodes to this. Other ways that were weighed: docs/design/limits.md.
+checks this with four nodes. Alternatives are discussed in docs/design/limits.md.
 """
 
 from collections.abc import Callable
@@ -25,34 +26,35 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
-# How long a lease counts. It bounds the error at a change of owner to one second of the rate, and
-# the concurrency that a silent node keeps from the others to one second.
+# Validity of a lease. It bounds the error at a change of owner to one second of the rate, and the
+# time for which an unreachable node's concurrency is unavailable to the others to one second.
 LEASE_S = 1.0
-# Seconds of the rate that may start at once. One second, which is the only error of the sum while
-# the owner stays the same.
+# Capacity of the token bucket, in seconds of the rate. While the owner stays the same, this one
+# second is the only error of the sum.
 BURST_S = 1.0
-# What the bucket of a new owner holds, in seconds of the rate. The former owner may have spent the
-# burst, and the equal parts have one as well. The quarter is part of the stated error.
+# Capacity of a new owner's token bucket, in seconds of the rate. It is small because the former
+# owner may have spent the burst, and the nodes' equal parts have a burst as well. The quarter is
+# part of the error stated above.
 UNSETTLED_BURST_S = BURST_S / 4
-# How long a new owner leaves the nodes to their equal parts. Derived: longer than any lease of the
+# How long a new owner makes the nodes keep to their equal parts. Longer than any lease of the
 # former owner.
 OWNER_GRACE_S = 1.5 * LEASE_S
 
-# Share of the last request in the mean time that requests run. About ten requests set it.
+# Weight of the newest request in the mean duration, which so covers about the last ten requests.
 DURATION_WEIGHT = 0.2
 
-assert OWNER_GRACE_S > LEASE_S, "a new owner must outwait the leases of the former one"
+assert OWNER_GRACE_S > LEASE_S, "a new owner must wait until the former owner's leases have expired"
 
 
 @dataclass(frozen=True)
 class LeaseRequest:
-    """A node asks the owner of a limit for a lease.
+    """A node's request for a lease, sent to the owner of a limit.
 
     Attributes:
-      node: Incarnation of the node that asks.
+      node: Incarnation of the requesting node.
       starts: Request starts that the node expects to need during the lease.
-      in_use: Requests that the node has running.
-      wanted: Requests that the node expects to have running, those in use included.
+      in_use: Requests that are running on the node.
+      wanted: Requests that the node expects to run at a time, those in use included.
     """
 
     node: str
@@ -65,13 +67,13 @@
 
 @dataclass(frozen=True)
 class Lease:
-    """What the owner allows a node for LEASE_S.
+    """The owner's grant to a node, valid for LEASE_S.
 
     Attributes:
       starts: Requests that the node may start.
-      concurrency: Requests that the node may have running at a time.
-      retry_after_s: When the bucket will hold a start again; 0 where it holds one.
-      settled: False while the owner is new and the node has to keep to its equal part.
+      concurrency: Requests that may run on the node at a time.
+      retry_after_s: Seconds until the token bucket holds a start again; 0 if it holds one.
+      settled: False while the owner is new and the node must keep to its equal part.
     """
 
     customer: str
@@ -84,14 +86,14 @@
 
 @dataclass
 class OwnedLimit:
-    """Owner's side of one limit.
+    """One limit, as its owner accounts for it.
 
     Attributes:
-      tokens: Request starts in the bucket.
-      refilled_s: When the bucket was last filled.
+      tokens: Request starts in the token bucket.
+      refilled_s: When the bucket was last refilled.
       since_s: When this node became the owner.
-      concurrency: Requests that each node may have running, by incarnation.
-      expires_s: When the lease of each node ends, by incarnation.
+      concurrency: Leased concurrency of each node, by incarnation.
+      expires_s: When each node's lease expires, by incarnation.
     """
 
     share: Share
@@ -103,15 +105,15 @@
 
     @classmethod
     def from_share(cls, share: Share, now_s: float) -> "OwnedLimit":
-        """Start with little in the bucket, since the former owner may have spent the burst."""
+        """Start with a nearly empty bucket, since the former owner may have spent the burst."""
         tokens = max(1.0, share.rate_per_s * UNSETTLED_BURST_S)
         return cls(share, tokens, now_s, now_s)
 
     def lease(self, request: LeaseRequest, now_s: float, nodes: int) -> Lease:
-        """Return the lease for a lease request.
+        """Grant a lease and take its starts from the bucket.
 
         Args:
-          nodes: Live nodes; a single one has no former owner to wait for.
+          nodes: Number of live nodes; with a single one there is no former owner to wait for.
         """
         settled = now_s - self.since_s >= OWNER_GRACE_S or nodes == 1
         self._refill(now_s, settled)
@@ -123,7 +125,7 @@
         return Lease(request.customer, request.request_class, starts, concurrency, retry_s, settled)
 
     def _refill(self, now_s: float, settled: bool) -> None:
-        """Fill the bucket; only to a part while the nodes still admit their equal parts."""
+        """Refill the bucket; up to less while the nodes still admit their equal parts."""
         burst_s = BURST_S if settled else UNSETTLED_BURST_S
         burst = max(1.0, self.share.rate_per_s * burst_s)
         grown = self.tokens + (now_s - self.refilled_s) * self.share.rate_per_s
@@ -136,7 +138,7 @@
             del self.concurrency[node]
 
     def _lease_concurrency(self, request: LeaseRequest, now_s: float) -> int:
-        """Return how many requests a node may run: those it runs already, more only if free."""
+        """Lease a node the requests that it runs already, and more only if the limit has room."""
         others = sum(leased for node, leased in self.concurrency.items() if node != request.node)
         free = max(0, self.share.concurrency - others)
         leased = max(request.in_use, min(request.wanted, free))
@@ -147,18 +149,18 @@
 
 @dataclass
 class NodeLimit:
-    """Entry node's side of one limit.
+    """One limit, as an entry node applies it.
 
     Attributes:
-      starts: Request starts that are left.
+      starts: Request starts that are left of the lease or equal part.
       concurrency: Requests that may run here at a time.
       in_use: Requests that run here.
-      valid_until_s: When the lease or the equal part ends.
-      uses_equal_part: Whether the node admits its equal part, without a lease.
-      refilled_s: When the equal part was last filled.
-      retry_after_s: When the rate will allow a start again.
-      demand: Requests that asked to start since the last lease request to the owner.
-      mean_duration_s: How long requests run, weighted to the last ones; 0 until one has ended here.
+      valid_until_s: When the lease or the equal part expires.
+      uses_equal_part: Whether the node admits its equal part of the limit, without a lease.
+      refilled_s: When the bucket of the equal part was last refilled.
+      retry_after_s: Seconds until the rate allows a start again.
+      demand: Requests that arrived since the last lease request to the owner.
+      mean_duration_s: Exponentially weighted mean duration of requests; 0 until one has ended here.
     """
 
     share: Share
@@ -173,7 +175,7 @@
     mean_duration_s: float = 0.0
 
     def try_start(self, now_s: float) -> bool:
-        """Start one request if the lease or the equal part allows it; finish() has to follow."""
+        """Start one request if the lease or the equal part allows it; finish() must follow."""
         if now_s >= self.valid_until_s:
             return False
         if self.starts < 1 or self.in_use >= self.concurrency:
@@ -183,25 +185,24 @@
         return True
 
     def count_demand(self) -> None:
-        """Count a request that asks to start, for the next lease request to the owner."""
+        """Count an arriving request, for the next lease request to the owner."""
         self.demand += 1
 
     def finish(self) -> None:
-        """Note that a request which started here has ended."""
+        """Record that a request which started here has ended."""
         self.in_use -= 1
 
     def record_duration(self, duration_s: float) -> None:
-        """Note for how many seconds a request ran that has ended."""
+        """Add the duration of an ended request, in seconds, to the mean."""
         if self.mean_duration_s:
             self.mean_duration_s += DURATION_WEIGHT * (duration_s - self.mean_duration_s)
         else:
             self.mean_duration_s = duration_s
 
     def refusal(self) -> Problem:
-        """Return the problem of a request that could not start: which limit, when to come back.
+        """Return the Problem of a request that could not start: the limit and when to retry.
 
-        One that ran into the concurrency may come back when the next of the running requests is
-        likely to have ended.
+        At the concurrency limit that is when the next running request is expected to end.
         """
         source = f"{self.share.customer}/{self.share.request_class}"
         if self.starts < 1:
@@ -212,7 +213,7 @@
         return Problem(Code.CONCURRENCY_LIMITED, source=source, retry_after_s=retry_after_s)
 
     def lease_request(self, node: str) -> LeaseRequest:
-        """Return what to ask the owner for, from the demand since the last lease request."""
+        """Return the lease request for the demand since the last one, and reset the demand."""
         starts = self.demand
         self.demand = 0
         wanted = self.in_use + starts
@@ -221,7 +222,7 @@
         )
 
     def take(self, lease: Lease, now_s: float, nodes: int) -> None:
-        """Use the owner's lease; starts left over from a lease that still counts are kept."""
+        """Apply the owner's lease; starts left over from a lease that is still valid are kept."""
         if not lease.settled:
             self.fall_back(now_s, nodes)
             return
@@ -233,7 +234,7 @@
         self.valid_until_s = now_s + LEASE_S
 
     def fall_back(self, now_s: float, nodes: int) -> None:
-        """Admit this node's equal part, since the owner cannot be asked."""
+        """Admit this node's equal part of the limit, because no lease can be had from the owner."""
         rate = self.share.rate_per_s / nodes
         burst = max(1.0, rate * BURST_S)
         if not self.uses_equal_part:
@@ -249,7 +250,7 @@
 
 
 class LimitOwner:
-    """All limits that this node owns."""
+    """The limits that this node owns."""
 
     def __init__(self, clock: Callable[[], float]):
         """Keep the clock, a monotonic time in seconds."""
@@ -257,7 +258,7 @@
         self._owned: dict[tuple[str, str], OwnedLimit] = {}
 
     def lease(self, request: LeaseRequest, share: Share, nodes: int) -> Lease:
-        """Answer a node's lease request under the share that is in force."""
+        """Grant a node's lease request under the share that is in force."""
         now_s = self._clock()
         key = (request.customer, request.request_class)
         owned = self._owned.get(key)
@@ -267,5 +268,5 @@
         return owned.lease(request, now_s, nodes)
 
     def keep_only(self, owned: Callable[[str, str], bool]) -> None:
-        """Forget the limits that other nodes own now."""
+        """Drop the limits that other nodes own now."""
         self._owned = {key: limit for key, limit in self._owned.items() if owned(*key)}
