--- a/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_slots.py
@@ -1,8 +1,8 @@
-"""The slots of one endpoint: how many there are, which are in use, and how long the next one takes.
+"""The slots of one endpoint: how many it has, which are in use, and the predicted wait for one.
 
-It brings together the concurrency limits, the endpoint's health, its memory and the extra slot of
-the minimum share. It belongs to the scheduler of the endpoint (scheduler.py), which decides who
-gets a slot.
+Combines the learnt concurrency limits, the endpoint's health, its memory and the extra slot of the
+minimum share. The endpoint's scheduler (scheduler.py) owns it and decides which slot request gets a
+slot.
 """
 
 from collections.abc import Callable
@@ -16,13 +16,12 @@
 from springbridge.classes.slots.fair_queue import FairQueue
 from springbridge.classes.slots.minimum_share import MinimumShare
 
-# Length of an answer that is expected of a class before its first one, in tokens.
+# Expected length of an answer, in tokens, until a class has had its first answer.
 FIRST_ANSWER_TOKENS = 64.0
-# Time for which a slot is expected to be held before the first release. The first sample replaces
-# it.
+# Expected time for which a slot is held, until the first release replaces it.
 FIRST_SERVICE_S = 1.0
-# Slots, at least, of which work that may not be preempted leaves one to the top tier. With one slot
-# such work could never run. Derived: the smallest number that has one to leave.
+# Minimum of the slots of which unpreemptible lower-tier work must leave one to the top tier. With a
+# minimum of one, such work could never run at an endpoint with a single slot.
 MIN_SLOTS_TO_RESERVE_ONE = 2
 
 
@@ -32,8 +31,8 @@
 
     Attributes:
       since_s: When it got the slot.
-      tokens: Tokens of the endpoint's memory that it is expected to take up.
-      stopping: Whether it was told to stop.
+      tokens: Expected use of the endpoint's memory, in tokens.
+      stopping: Whether its node was told to stop it.
     """
 
     slot_request: SlotRequest
@@ -43,7 +42,7 @@
 
     @property
     def is_preemptible(self) -> bool:
-        """Return whether the work may be preempted and was not told to stop yet."""
+        """Return whether the work may be preempted and is not stopping already."""
         return self.slot_request.preemptible and not self.stopping
 
 
@@ -52,8 +51,8 @@
 
     Attributes:
       running: The slot requests that hold a slot, by id.
-      limits: Learnt limits of the tiers.
-      health: Slots that its failures take away.
+      limits: Learnt concurrency limits of the tiers.
+      health: Failures, which reduce the slots that may be used.
       share: The extra slot of the minimum share.
       service_s: Mean time for which a slot is held.
     """
@@ -76,13 +75,13 @@
         self._answer_tokens: dict[str, RunningQuantile] = {}
 
     def hold(self, slot_request: SlotRequest, now_s: float) -> None:
-        """Note that a slot request holds a slot from now on."""
+        """Register that a slot request holds a slot from now on."""
         self.running[slot_request.slot_request_id] = Running(
             slot_request, now_s, self.tokens(slot_request)
         )
 
     def free(self, slot_request_id: str) -> None:
-        """Note that a slot request no longer holds its slot."""
+        """Free the slot of a slot request."""
         del self.running[slot_request_id]
         self.share.release(slot_request_id)
 
@@ -91,10 +90,11 @@
         return len(self.running) - (self.share.holder is not None)
 
     def for_tier(self, tier: Tier, now_s: float) -> int:
-        """Return how many slots there are for a tier, given the tiers that run now.
+        """Return the number of slots that a tier may use, given the tiers that run now.
 
-        An endpoint too slow for a tier has none for it, until a slot request has waited so long
-        that late is better than never.
+        An endpoint that is too slow for a tier has none for it, unless a slot request of the tier
+        is late already; it then has at least LATE_LIMIT slots, since a late answer is better than
+        none.
         """
         present = {run.slot_request.tier for run in self.running.values()}
         slots = self.limits.slots(now_s, present | {tier})
@@ -103,17 +103,17 @@
         return self.health.slots(now_s, slots)
 
     def slots_with_one_reserved(self) -> int:
-        """Return of how many slots work that may not be preempted has to leave one."""
+        """Return the number of slots of which unpreemptible lower-tier work must leave one."""
         return max(MIN_SLOTS_TO_RESERVE_ONE, self.limits.slots(self._clock(), set(Tier)))
 
     def is_free(self, tier: Tier, now_s: float) -> bool:
-        """Return whether a tier has a slot now."""
+        """Return whether a tier has a free slot now."""
         return self.used() < self.for_tier(tier, now_s)
 
     def fits(self, slot_request: SlotRequest) -> bool:
-        """Return whether a slot request fits the memory and leaves the last slot to the top tier.
+        """Return whether the work fits the memory and leaves the last slot to the top tier.
 
-        A slot request that is larger than the memory runs alone.
+        Work that is larger than the memory runs alone.
         """
         if (
             slot_request.is_unpreemptible_lower_tier
@@ -124,7 +124,7 @@
         return not used or used + self.tokens(slot_request) <= self._token_capacity
 
     def unpreemptible_lower_tier_used(self) -> int:
-        """Return the slots held by fixed work, without the extra one of the minimum share."""
+        """Return the slots used by unpreemptible lower-tier work, without the extra slot."""
         unpreemptible = [
             slot_request_id
             for slot_request_id, run in self.running.items()
@@ -133,14 +133,14 @@
         return len(unpreemptible) - (self.share.holder in unpreemptible)
 
     def tokens(self, slot_request: SlotRequest) -> float:
-        """Return the tokens that a slot request is expected to take up."""
+        """Return the expected memory of a slot request's prompt and answer, in tokens."""
         return slot_request.prompt_tokens + self._answer_quantile(slot_request.request_class).value
 
     def _answer_quantile(self, request_class: str) -> RunningQuantile:
         return self._answer_tokens.setdefault(request_class, RunningQuantile(FIRST_ANSWER_TOKENS))
 
     def learn_latency(self, running: Running, sample: Sample, now_s: float) -> None:
-        """Adjust the limits to the latencies of one slot; zero stands for nothing new."""
+        """Adjust the limits to the latencies of one slot; a zero means no new value."""
         in_flight = self.used()
         if sample.between_tokens_s:
             self.limits.learn_between(now_s, sample.between_tokens_s, in_flight)
@@ -149,7 +149,7 @@
             self.limits.learn_first(now_s, running.slot_request.tier, latency_ratio, in_flight)
 
     def learn_outcome(self, running: Running, release: Release, now_s: float) -> None:
-        """Adjust health and estimates to how a slot ended."""
+        """Adjust the endpoint's health and the estimates to the outcome of a slot."""
         if release.outcome in (Outcome.ENDPOINT_FAILED, Outcome.ENDPOINT_REFUSED):
             self.health.failure(now_s)
         elif release.outcome is Outcome.DONE:
@@ -159,7 +159,7 @@
             self.service_s.add(now_s - running.since_s)
 
     def predicted_wait_s(self, tier: Tier, now_s: float) -> float:
-        """Return how long a new slot request of the tier would wait for a slot, in seconds."""
+        """Return the predicted wait of a new slot request of the tier, in seconds."""
         suspended_s = max(0.0, self.health.suspended_until_s - now_s)
         slots = max(1, self.for_tier(tier, now_s))
         free = slots - self.used() + self._stopping()
@@ -167,18 +167,18 @@
         return suspended_s + max(0.0, behind) * self.service_s.value / slots
 
     def queued_wait_s(self, slot_request: SlotRequest, now_s: float) -> float:
-        """Return how long a slot request that is in the queue already would wait, in seconds.
+        """Return the predicted wait of a slot request that is queued already, in seconds.
 
-        The prediction counts the slot request as one of those ahead, so its own part is taken off.
+        predicted_wait_s counts the queued request as one ahead, so its own part is subtracted.
         """
         slots = max(1, self.for_tier(slot_request.tier, now_s))
         own_s = self.service_s.value / slots / slot_request.fan
         return max(0.0, self.predicted_wait_s(slot_request.tier, now_s) - own_s)
 
     def is_one_short(self, tier: Tier, now_s: float) -> bool:
-        """Return whether at most one slot has to be given back to make room for the tier."""
+        """Return whether freeing one more slot is enough to give the tier a slot."""
         return self.used() - self._stopping() <= self.for_tier(tier, now_s)
 
     def _stopping(self) -> int:
-        """Return the slots whose work was told to stop."""
+        """Return the number of slots whose work is stopping."""
         return sum(run.stopping for run in self.running.values())
--- a/packages/springbridge/springbridge/classes/slots/preemption.py
+++ b/packages/springbridge/springbridge/classes/slots/preemption.py
@@ -1,12 +1,12 @@
-"""Preemption: which running request gives way to a waiting one?
-
-Decided: whether a waiting slot request takes a slot back from running work, and from which. Inputs:
-tiers, start times and preemptible flags of what runs, the predicted wait and what is left of the
-slot request's latency target (both in seconds), and how many slot requests are ahead. Outcome: the
-youngest work of the lowest tier below the slot request's, or none. Work of the same or a higher
-tier never gives way, nor does work that may not be stopped. Why: the urgent meet their targets, and
-the youngest work loses least. Preempted work goes on elsewhere from its offset. No measurement set
-the constants.
+"""Preemption: chooses the running work that is stopped to free a slot for a waiting slot request.
+
+Decides whether a waiting slot request takes a slot back from running work, and from which.
+Inputs: tiers, start times and preemptible flags of the running work, the predicted wait and what is
+left of the slot request's latency target (both in seconds), and the number of slot requests ahead.
+Result: the most recently started work of the lowest tier below that of the slot request, or none.
+Work of the same or a higher tier is never preempted, nor is work that is not preemptible.
+Preemption lets urgent requests meet their targets; the work that started last loses least.
+Preempted work continues at another endpoint from its offset in the answer.
 """
 
 from collections.abc import Iterable
@@ -16,8 +16,8 @@
 from springbridge.classes.slots.endpoint_slots import Running
 from springbridge.classes.slots.fair_queue import LATE_TARGET_SHARE
 
-# Share of the rest of its latency target that a slot request may be predicted to wait before it
-# preempts, at its first endpoint only. It leaves most of the target to the endpoint.
+# Share of the remaining latency target above which a predicted wait makes a slot request preempt,
+# at its first endpoint only. It leaves most of the target to the endpoint.
 PREEMPT_TARGET_SHARE = 0.25
 
 assert PREEMPT_TARGET_SHARE < LATE_TARGET_SHARE, "preemption starts at the first endpoint"
@@ -33,7 +33,7 @@
 
 
 def preemptible_below(running: Iterable[Running], tier: Tier) -> list[Running]:
-    """Return the work of lower tiers that may be preempted and is not stopping yet."""
+    """Return the work of lower tiers that may be preempted and is not stopping already."""
     return [run for run in running if run.is_preemptible and run.slot_request.tier > tier]
 
 
--- a/packages/springbridge/springbridge/classes/slots/scheduler.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler.py
@@ -1,17 +1,16 @@
-"""The scheduler of one endpoint: who gets a slot, who waits, who is refused and who gives way.
+"""Scheduler of one endpoint: grants its slots, queues or refuses slot requests, and preempts work.
 
-One node schedules an endpoint, so the order of its queue and the count of its slots are exact
-whatever the lag of load reports. Its methods return decisions, which the node sends to the entry
-nodes.
+One node schedules an endpoint, so the order of its queue and the count of its slots are exact even
+though load reports lag. The methods return decisions, which the node sends to the entry nodes.
 
 The rules, in order:
   1. A free slot goes to the next slot request in fair order (fair_queue.py) that the endpoint has
      room for (endpoint_slots.py).
-  2. A slot request that would wait too long for its latency target makes lower-tier work give way
+  2. A slot request that would wait too long for its latency target preempts lower-tier work
      (preemption.py).
   3. Before a top-tier slot request is refused, all preemptible lower-tier work has been preempted
      and all waiting lower-tier slot requests have been refused; INVARIANT_TOP_TIER asserts that.
-     Lower tiers then move through the extra slot of the minimum share (minimum_share.py).
+     Lower tiers then get only the extra slot of the minimum share (minimum_share.py).
   4. Below the top tier, work that may not be preempted never takes the last slot of an endpoint.
   5. A slot request whose predicted wait is longer than it may wait is refused at once, because it
      would only delay those behind it.
@@ -47,17 +46,18 @@
 INVARIANT_LAST_SLOT = "last slot stays preemptible"
 INVARIANT_TIER_ORDER = "preemption goes downward"
 
-# Prefix of the key that is hashed for the role; all nodes of a fleet have to use the same.
+# Prefix of the key whose hash selects the scheduling node. All nodes of a fleet must use the same.
 ROLE_PREFIX = "engine/"
-# Age of a slot from which an inventory without it frees it. Derived: longer than the second from
-# one inventory to the next, so that one written before the grant arrived frees nothing.
+# Age from which a slot is freed if its node's inventory doesn't list it. Longer than the second
+# between two inventories, so that one written before the grant arrived frees nothing.
 INVENTORY_LAG_S = 2.0
 
 
 def scheduling_node(endpoint: str, nodes: Iterable[str]) -> str | None:
-    """Return which of the live nodes schedules an endpoint; None if there are none.
+    """Return the live node that schedules an endpoint, or None if there are no nodes.
 
-    Rendezvous hashing gives the same node everywhere, so nodes with the same view need no message.
+    Rendezvous hashing selects the same node everywhere, so nodes with the same membership view
+    agree without a message.
     """
     return owner(ROLE_PREFIX + endpoint, nodes)
 
@@ -68,7 +68,10 @@
     Attributes:
       endpoint: Name of the endpoint.
       queue: The slot requests that wait.
-      slots: The slots and what is learnt about them; running, limits and health are parts of it.
+      slots: The slots, and the estimates learnt about them.
+      running: Alias of slots.running, the slot requests that hold a slot.
+      limits: Alias of slots.limits.
+      health: Alias of slots.health.
     """
 
     def __init__(
@@ -97,7 +100,10 @@
         self._invariants = invariants
 
     def request_slot(self, slot_request: SlotRequest) -> list[Decision]:
-        """Take in a slot request and return the decisions that follow from it."""
+        """Grant, queue or refuse a slot request; return this and all decisions that follow from it.
+
+        A repeated slot request gets the decision that is in force.
+        """
         now_s = self._clock()
         self.limits.set_target(
             slot_request.tier, slot_request.request_class, slot_request.between_s
@@ -129,12 +135,12 @@
         return decisions
 
     def hold(self, slot_request: SlotRequest) -> None:
-        """Take over a slot that the endpoint's former scheduler gave."""
+        """Register a slot that the endpoint's former scheduler granted."""
         if slot_request.slot_request_id not in self.running:
             self.slots.hold(slot_request, self._clock())
 
     def release(self, release: Release) -> list[Decision]:
-        """Take a slot back, learn from how it was used and grant it to the next slot request."""
+        """Free a slot, learn from how it was used and grant it to the next slot request."""
         now_s = self._clock()
         running = self.running.get(release.slot_request_id)
         if running is None:
@@ -145,13 +151,13 @@
         return list(self._grant_free_slots(now_s))
 
     def sample(self, sample: Sample) -> None:
-        """Learn from a slot that is still in use."""
+        """Update the limits with the latencies of a slot that is still in use."""
         running = self.running.get(sample.slot_request_id)
         if running is not None:
             self.slots.learn_latency(running, sample, self._clock())
 
     def drop_node(self, node: str) -> list[Decision]:
-        """Forget the slot requests and slots of an entry node that is gone."""
+        """Drop the slot requests and slots of an entry node that has left or failed."""
         for slot_request in [
             slot_request for slot_request in self.queue.waiting() if slot_request.node == node
         ]:
@@ -161,7 +167,7 @@
         return list(self._grant_free_slots(self._clock()))
 
     def take_inventory(self, inventory: Inventory) -> list[Decision]:
-        """Free the slots that a node no longer has here, whose releases were lost on the way."""
+        """Free the slots that a node's inventory doesn't list, because their releases were lost."""
         now_s = self._clock()
         kept = set(inventory.slot_request_ids)
         lost = [
@@ -191,20 +197,20 @@
         return decisions
 
     def nodes(self) -> set[str]:
-        """Return the entry nodes that have slot requests or slots here."""
+        """Return the entry nodes with slot requests or slots at this endpoint."""
         slot_requests = [run.slot_request for run in self.running.values()] + self.queue.waiting()
         return {slot_request.node for slot_request in slot_requests}
 
     def slot_request_ids(self) -> set[str]:
-        """Return the ids of all slot requests and slots."""
+        """Return the ids of all slot requests that wait or hold a slot."""
         return set(self.running) | {
             slot_request.slot_request_id for slot_request in self.queue.waiting()
         }
 
-    # A slot request that found no free slot.
+    # Slot requests that found no free slot.
 
     def _place_waiting(self, slot_request: SlotRequest, now_s: float) -> Iterator[Decision]:
-        """Preempt for a waiting slot request, or refuse it if its wait would be too long."""
+        """Preempt for a waiting slot request, or refuse it if its predicted wait is too long."""
         wait_s = self.slots.queued_wait_s(slot_request, now_s)
         too_long = wait_s > slot_request.max_wait_s
         if too_long or (
@@ -219,7 +225,7 @@
             yield from self._give_up(slot_request, now_s)
 
     def _preempt_for(self, slot_request: SlotRequest) -> Preemption | None:
-        """Tell the work that gives way to a slot request to stop, if there is any."""
+        """Preempt running work for a slot request; return None if there is none to preempt."""
         requests_ahead = self.queue.load_ahead(slot_request.tier)
         victim = choose_victim(self.running.values(), slot_request.tier, requests_ahead)
         if victim is None:
@@ -230,7 +236,7 @@
         return _preempt(victim)
 
     def _give_up(self, slot_request: SlotRequest, now_s: float) -> Iterator[Decision]:
-        """Refuse a waiting slot request; for one of the top tier, first clear all lower tiers."""
+        """Refuse a waiting slot request; for one of the top tier, clear the lower tiers first."""
         if slot_request.tier is Tier.URGENT:
             self.slots.share.note_top_tier_refusal(now_s)
             yield from self._refuse_below(Tier.URGENT)
@@ -244,7 +250,7 @@
             yield self._refuse(lower)
 
     def _preempt_below(self, tier: Tier) -> Iterator[Preemption]:
-        """Tell all preemptible work of lower tiers to stop."""
+        """Preempt all preemptible work of lower tiers."""
         for run in preemptible_below(self.running.values(), tier):
             yield _preempt(run)
 
@@ -254,7 +260,7 @@
         return Refusal(slot_request.slot_request_id, slot_request.node, after_wait(wait_s))
 
     def _decide_under_overload(self, slot_request: SlotRequest, now_s: float) -> Decision:
-        """Give a lower-tier request the extra slot, or refuse it at once since it may not wait."""
+        """Grant a lower-tier request the extra slot, or refuse it at once since it may not wait."""
         suspended = self.slots.for_tier(slot_request.tier, now_s) == 0
         if suspended or not self.slots.share.claim(
             slot_request.slot_request_id, slot_request.request_class, now_s
@@ -264,7 +270,7 @@
         return self._grant(slot_request)
 
     def _check_top_tier(self) -> None:
-        """Assert that nothing of a lower tier waits or could still be preempted."""
+        """Assert that no lower-tier slot request waits and no lower-tier work can be preempted."""
         waiting = self.queue.below(Tier.URGENT)
         still_preemptible = preemptible_below(self.running.values(), Tier.URGENT)
         holds = not waiting and not still_preemptible
@@ -273,7 +279,7 @@
     # Granting slots.
 
     def _grant_free_slots(self, now_s: float) -> Iterator[Grant]:
-        """Grant free slots in fair order, past tiers whose next slot request does not fit."""
+        """Grant free slots in fair order, skipping tiers whose next slot request doesn't fit."""
         blocked: set[Tier] = set()
         while True:
             tier = self._next_tier(blocked)
@@ -285,7 +291,7 @@
                 blocked.add(tier)
 
     def _next_tier(self, blocked: set[Tier]) -> Tier | None:
-        """Return the tier to serve next, leaving out those whose next slot request does not fit."""
+        """Return the tier to serve next, leaving out blocked ones (next request doesn't fit)."""
         tier = self.queue.next_tier()
         if tier is None or tier not in blocked:
             return tier
@@ -305,18 +311,18 @@
         return Grant(slot_request.slot_request_id, slot_request.node, self._me, used_share)
 
     def _check_last_slot(self) -> None:
-        """Assert that work which may not be preempted leaves a slot to the top tier."""
+        """Assert that unpreemptible lower-tier work leaves a slot to the top tier."""
         holds = self.slots.unpreemptible_lower_tier_used() < self.slots.slots_with_one_reserved()
         self._invariants.check(INVARIANT_LAST_SLOT, holds, self.endpoint)
 
     def _withdraw(self, slot_request_id: str, now_s: float) -> list[Decision]:
-        """Drop a slot request that still waits."""
+        """Drop a slot request that still waits; do nothing if it is unknown."""
         if self.queue.discard(slot_request_id) is None:
             return []
         return list(self._grant_free_slots(now_s))
 
 
 def _preempt(run: Running) -> Preemption:
-    """Mark work as told to stop and return the message that says so."""
+    """Mark running work as stopping and return the message that tells its node to stop it."""
     run.stopping = True
     return Preemption(run.slot_request.slot_request_id, run.slot_request.node)
