--- a/packages/springbridge/springbridge/classes/slots/fair_queue.py
+++ b/packages/springbridge/springbridge/classes/slots/fair_queue.py
@@ -1,11 +1,13 @@
-"""Fair order: which waiting slot request of an endpoint is served next?
-
-Decided: the next slot request. Inputs: tier, customer, class and weight of the slot requests, their
-expected work in tokens, and how often each tier was passed over. Outcome: one slot request, or
-none. Tiers are strict; inside a tier, customers and classes share by weight (start-time fair
-queueing: a flow's next start tag grows by cost over weight). A lower tier that was passed over
-MIN_SHARE_GRANTS times in a row is owed one grant. Why: the urgent go first, a customer cannot crowd
-out the others of its tier, and every class is served in the end. No measurement set the constants.
+"""Fair queue of one endpoint: orders the waiting slot requests by tier, weight and arrival.
+
+Decides which slot request is served next.
+Inputs: tier, customer, class and weight of the slot requests, their expected work in tokens, and
+how often each tier was passed over.
+Result: one slot request, or none.
+Tiers have strict priority. Within a tier, flows (a customer and a class) share by weight, by
+start-time fair queueing: each request advances its flow's next start tag by cost over weight. A
+lower tier that was passed over MIN_SHARE_GRANTS times in a row is owed one grant. So urgent
+requests go first, a customer cannot crowd out the others of its tier, and no class starves.
 """
 
 import heapq
@@ -14,13 +16,13 @@
 from springbridge.classes.decisions import SlotRequest
 from springbridge.classes.entities import Tier
 
-# Grants to higher tiers after which a lower tier is owed one, so it gets at least one in 21.
+# Grants to higher tiers after which a lower tier is owed one; it so gets at least one grant in 21.
 MIN_SHARE_GRANTS = 20
 # Share of its latency target after which a waiting slot request counts as late. It then preempts at
 # every endpoint and is served by one that is too slow for its tier.
 LATE_TARGET_SHARE = 0.5
-# Idle flows are dropped once there are more flows than this beside two for each entry of the heap,
-# so that the clean-up costs little on average and memory stays bounded.
+# Idle flows are dropped once there are more flows than this plus two per entry of the heap, so that
+# the clean-up costs little on average and memory stays bounded.
 IDLE_FLOWS = 16
 
 
@@ -29,11 +31,11 @@
     """A slot request in the queue, ordered by its start tag and then by arrival.
 
     Attributes:
-      tag: Start tag in expected tokens over weight.
-      number: Count of arrivals.
+      start_tag: Virtual start time, in expected tokens over weight.
+      number: Sequence number of arrival, which breaks ties.
       expires_s: When its wait ends.
       late_s: When it counts as late.
-      gone: Whether it was removed; the heap drops it later.
+      removed: Whether it was removed from the queue; the heap drops it later.
     """
 
     start_tag: float
@@ -53,7 +55,7 @@
         self._virtual_time = 0.0
 
     def push(self, slot_request: SlotRequest, number: int, cost: float, now_s: float) -> Entry:
-        """Queue a slot request whose expected work is cost, in tokens, and return its entry."""
+        """Queue a slot request and return its entry; cost is its expected work in tokens."""
         flow = (slot_request.customer, slot_request.request_class)
         start_tag = max(self._virtual_time, self._finish_tags.get(flow, 0.0))
         self._finish_tags[flow] = start_tag + cost / slot_request.weight
@@ -64,13 +66,13 @@
         return entry
 
     def peek(self) -> Entry | None:
-        """Return the entry that is next, or None."""
+        """Return the next entry, or None if the queue is empty."""
         while self._heap and self._heap[0].removed:
             heapq.heappop(self._heap)
         return self._heap[0] if self._heap else None
 
     def pop(self) -> Entry:
-        """Remove and return the next entry."""
+        """Remove and return the next entry, and advance the virtual time to its tag."""
         entry = heapq.heappop(self._heap)
         entry.removed = True
         self._virtual_time = max(self._virtual_time, entry.start_tag)
@@ -108,14 +110,14 @@
         return slot_request_id in self._entries
 
     def push(self, slot_request: SlotRequest, cost: float, now_s: float) -> None:
-        """Queue a slot request whose expected work is cost, in tokens."""
+        """Queue a slot request; cost is its expected work in tokens."""
         self._pushed += 1
         entry = self._tiers[slot_request.tier].push(slot_request, self._pushed, cost, now_s)
         self._entries[slot_request.slot_request_id] = entry
         self._load[slot_request.tier] += 1.0 / slot_request.fan
 
     def discard(self, slot_request_id: str) -> SlotRequest | None:
-        """Remove a slot request from wherever it is and return it, or None if it is not queued."""
+        """Remove a slot request and return it, or return None if it is not queued."""
         entry = self._entries.pop(slot_request_id, None)
         if entry is None:
             return None
@@ -124,7 +126,7 @@
         return entry.slot_request
 
     def next_tier(self) -> Tier | None:
-        """Return the tier that is served next, or None if nothing waits."""
+        """Return the tier to serve next, or None if the queue is empty."""
         waiting = [tier for tier in Tier if self._tiers[tier].peek() is not None]
         if not waiting:
             return None
@@ -132,7 +134,7 @@
         return max(owed, key=lambda tier: self._passed_over[tier], default=waiting[0])
 
     def peek(self, tier: Tier) -> SlotRequest | None:
-        """Return the slot request of a tier that is next, or None."""
+        """Return the next slot request of a tier, or None if the tier has none."""
         entry = self._tiers[tier].peek()
         return entry.slot_request if entry is not None else None
 
@@ -148,9 +150,9 @@
         return entry.slot_request
 
     def load_ahead(self, tier: Tier) -> float:
-        """Return how many slot requests a new slot request of the tier would find ahead of it.
+        """Return the number of slot requests ahead of a new one of the tier.
 
-        A slot request that waits at several endpoints counts for its part at each.
+        One that waits at several endpoints counts as a fraction (one over its fan) at each.
         """
         return sum(self._load[other] for other in Tier if other <= tier)
 
