--- a/packages/springbridge/springbridge/classes/slots/asking_order_test.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_choice_test.py
@@ -1,4 +1,4 @@
-"""Tests of asking_order.py: which endpoint is asked first, and which others then."""
+"""Tests of endpoint_choice.py: which endpoint is asked first, and which others then."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 from springbridge.classes.entities import Endpoint, EndpointKind, Request, RequestClass, Tier
 from springbridge.classes.ports import Attempt
-from springbridge.classes.slots.asking_order import (
+from springbridge.classes.slots.endpoint_choice import (
     ALL_WHILE_FEW,
     FAN_WHILE_MANY,
     PREFERENCE_BOUND,
--- a/packages/springbridge/springbridge/classes/slots/slot_client.py
+++ b/packages/springbridge/springbridge/classes/slots/slot_client.py
@@ -1,10 +1,11 @@
-"""The entry node's side of the slots: ask schedulers, take the first grant, give slots back.
-
-It owns the slot requests of the attempts that wait and the slots that this node holds. It relies on
-a route from an endpoint to the node that schedules it; messages may get lost, and resend() and
-send_inventories() make up for that. Which endpoints are asked is decided in asking_order.py. An
-attempt is refused once every endpoint has refused it or its wait is over; until then, an endpoint
-that refused is asked again.
+"""Requests slots from schedulers for this entry node's attempts, and gives the slots back.
+
+An attempt takes the first slot that is granted; requests at other endpoints are then withdrawn.
+endpoint_choice.py decides at which endpoints slots are requested. An attempt is refused once every
+endpoint has refused it or its wait is over; until then, a slot is requested again at an endpoint
+that refused.
+The client relies on a route from an endpoint to the node that schedules it. Messages may get lost;
+resend() and send_inventories() make up for that.
 """
 
 import asyncio
@@ -32,8 +33,8 @@
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.ports import Attempt, Slot
 from springbridge.classes.retry_times import NO_ENDPOINT_S
-from springbridge.classes.slots.asking_order import UsedShares, choose_first, choose_others
-from springbridge.classes.slots.pending_asks import (
+from springbridge.classes.slots.endpoint_choice import UsedShares, choose_first, choose_others
+from springbridge.classes.slots.pending_attempts import (
     Held,
     Pending,
     SlotRequestTerms,
@@ -44,16 +45,16 @@
 
 INVARIANT_ASKED_EVERYWHERE = "top tier asked everywhere before refusal"
 
-# Time after which the first endpoint's silence counts as no slot, so that the others are asked.
+# Time after which slots are requested at other endpoints if the first has not decided.
 FIRST_DECISION_TIMEOUT_S = 0.15
-# Time from an endpoint's refusal until it is asked again while others have not refused, so that the
-# final refusal holds for all at the same moment.
+# Time from an endpoint's refusal until a slot is requested there again while other endpoints have
+# not refused, so that the final refusal is true of all endpoints at the same time.
 REQUEST_AGAIN_S = 1.0
-# Time for which schedulers may still answer after the attempt's wait has ended. Their refusal names
-# the better time to come back; they look for expired slot requests ten times a second.
+# Time after the end of the attempt's wait in which schedulers may still answer. Their refusals
+# carry a better estimate of when to retry; they check for expired slot requests ten times a second.
 EXPIRY_GRACE_S = 0.5
 
-# Share of the slots in use at an endpoint that let a slot request wait or refused it.
+# Share of the slots in use that is assumed of an endpoint that queued or refused a slot request.
 FULLY_USED_SHARE = 1.0
 
 ToScheduler = SlotRequest | Hold | Inventory | Release | Sample
@@ -61,7 +62,7 @@
 
 
 class SlotClient:
-    """The slot source that asks the endpoints' schedulers."""
+    """SlotSource that requests slots from the endpoints' schedulers."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         invariants: Invariants,
         rng: random.Random,
     ):
-        """Start with nothing asked.
+        """Start without slot requests and slots.
 
         Args:
           me: This node's incarnation.
@@ -92,7 +93,7 @@
         self._used = UsedShares()
 
     async def acquire(self, attempt: Attempt) -> Result[Slot, Problem]:
-        """Wait for the first grant, or return the problem that refuses the attempt."""
+        """Wait for the first grant, or return the Problem of an attempt that gets none."""
         if not attempt.endpoints:
             return Failure(Problem(Code.NO_ENGINE, retry_after_s=NO_ENDPOINT_S))
         loop = asyncio.get_running_loop()
@@ -126,11 +127,11 @@
             self._send(held.scheduler, Release(slot.slot_request_id, outcome, sample))
 
     async def preempted(self, slot: Slot) -> None:
-        """Return when the slot's scheduler takes it back."""
+        """Wait until the slot's scheduler takes it back."""
         await self._held[slot.slot_request_id].preempted.wait()
 
     def resend(self) -> None:
-        """Repeat slot requests and slots to schedulers that took over or are connected anew."""
+        """Send all slot requests and slots again, for schedulers that took over or reconnected."""
         for pending in {id(one): one for one in self._pending.values()}.values():
             for slot_request in list(pending.slot_requests.values()):
                 self._withdraw_if_moved(
@@ -148,7 +149,7 @@
                 self._send(held.scheduler, Hold(held.slot_request))
 
     def send_inventories(self) -> None:
-        """Report to each scheduler what this node has there, so that it frees the rest."""
+        """Send each scheduler the ids of this node's slot requests and slots; it drops others."""
         found: dict[str, list[str]] = {}
         for slot_request_id, scheduler in self._schedulers.items():
             if scheduler is not None:
@@ -162,13 +163,13 @@
     def _withdraw_if_moved(
         self, slot_request_id: str, scheduler: str | None, endpoint: str
     ) -> None:
-        """Withdraw a slot request or slot from a scheduler whose role another node has now."""
+        """Withdraw a slot request or slot from a node that no longer schedules the endpoint."""
         if scheduler is not None and scheduler != self._route(endpoint):
             self._send_release(slot_request_id, scheduler)
 
     @singledispatchmethod
     def take(self, decision: Decision) -> None:
-        """Act on a decision of a scheduler."""
+        """Apply a decision of a scheduler."""
         raise TypeError(f"unknown decision {decision!r}")
 
     @take.register
@@ -226,7 +227,7 @@
         )
 
     def _request_others(self, pending: Pending) -> None:
-        """Ask at endpoints that were not asked yet."""
+        """Request slots at endpoints that the attempt has not tried yet."""
         if pending.granted.done():
             return
         others = choose_others(
@@ -253,7 +254,7 @@
             self._send(scheduler, slot_request)
 
     def _request_again_later(self, pending: Pending, slot_request: SlotRequest) -> None:
-        """Ask an endpoint that refused again while others have not refused."""
+        """Schedule another slot request at an endpoint that refused, while others have not."""
         loop = asyncio.get_running_loop()
         endpoint = pending.attempt.endpoint_named(slot_request.endpoint)
         again = loop.call_later(REQUEST_AGAIN_S, self._request_again, pending, endpoint)
@@ -281,7 +282,7 @@
             pending.granted.set_result(Failure(problem))
 
     def _give_back(self, pending: Pending) -> None:
-        """Give back a slot that was granted just as the caller went away."""
+        """Give back a slot that was granted while the caller was disconnecting."""
         granted = pending.granted
         if not granted.done() or granted.cancelled():
             return
@@ -290,7 +291,7 @@
                 self.release(slot, Outcome.UNUSED, Sample(slot.slot_request_id, 0.0, 0.0, 0))
 
     def _close(self, pending: Pending) -> None:
-        """Withdraw the slot requests that are left, also when the caller went away."""
+        """Withdraw the remaining slot requests; also called when the caller disconnected."""
         for timer in pending.timers:
             timer.cancel()
         for slot_request_id in pending.slot_requests:
