--- a/packages/springbridge/springbridge/classes/slots/baselines.py
+++ b/packages/springbridge/springbridge/classes/slots/baselines.py
@@ -1,6 +1,6 @@
-"""Baseline policies for comparison, set by ``--policy``; never the default.
+"""Baseline slot policies for comparison, selected by ``--policy``; never the default.
 
-docs/design/scheduling.md has the figures of a comparison with them.
+docs/design/scheduling.md compares the scheduler with them.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
-# Slots that each node uses at an endpoint. Four nodes then fill an endpoint to 24 streams.
+# Slots that each node uses at an endpoint; with four nodes, an endpoint runs up to 24 streams.
 SLOTS_PER_ENDPOINT = 6
 
 
 class _LocalSlots:
-    """Each node waits first in, first out for a fixed number of slots of each endpoint."""
+    """Base of policies in which each node has a fixed number of slots at each endpoint, FIFO."""
 
     def __init__(self) -> None:
         self._free: dict[str, asyncio.Semaphore] = {}
@@ -44,7 +44,7 @@
         return Success(Slot(str(next(self._numbers)), endpoint))
 
     def sample(self, slot: Slot, sample: Sample) -> None:
-        """Ignore the sample: baselines learn nothing."""
+        """Ignore the sample; baselines don't adapt."""
 
     def release(self, slot: Slot, outcome: Outcome, sample: Sample) -> None:
         """Give the slot to the next attempt in the queue."""
@@ -56,7 +56,7 @@
 
 
 class RoundRobinSlots(_LocalSlots):
-    """Each node takes the endpoints in turn."""
+    """Round robin over the endpoints, separately on each node."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -67,7 +67,7 @@
 
 
 class LeastLoadSlots(_LocalSlots):
-    """Each node takes the endpoint whose lagging report shows the least load."""
+    """Selects the endpoint with the least load by its last report, which lags."""
 
     def __init__(self, reported_load: Callable[[Endpoint], float]):
         super().__init__()
--- a/packages/springbridge/springbridge/classes/slots/concurrency.py
+++ b/packages/springbridge/springbridge/classes/slots/concurrency.py
@@ -1,16 +1,16 @@
-"""Concurrency limits: how many requests does an endpoint take at a time?
+"""Adaptive concurrency limits: learn from latencies how many requests an endpoint takes at a time.
 
-Decided: the slots of an endpoint, for each tier. Inputs: times to the first token and between
-tokens as shares of their targets, the requests in flight at that moment, and a monotonic time in
-seconds. Outcome: the number in flight up to which the endpoint meets a tier's targets. An endpoint
-keeps to the limits of the tiers that it runs; without urgent streams it fills up to what the looser
-targets of the lower tiers allow, so no throughput is given away where nobody needs the speed.
+Decides the number of slots of an endpoint, for each tier.
+Inputs: times to the first token and between tokens as ratios to their targets, the requests in
+flight at that moment, and a monotonic time in seconds.
+Result: the number of requests in flight up to which the endpoint meets a tier's targets. An
+endpoint keeps to the limits of the tiers that it runs. Without urgent streams it fills up to what
+the looser targets of the lower tiers allow, so no throughput is lost where the speed isn't needed.
 
-Why: entry nodes see latencies at once, while load reports lag. A limit moves by additive increase
-and multiplicative decrease. A good sample near the limit adds one slot per round, more where the
+Entry nodes see latencies at once, while load reports lag. A limit follows additive increase and
+multiplicative decrease: a good sample near the limit adds one slot per round, and more if the
 latency is far below the target; one above the target takes a tenth, at most once per
 DECREASE_INTERVAL_S. A sample taken far from a limit says nothing about it.
-
 """
 
 from dataclasses import dataclass, field
@@ -19,29 +19,29 @@
 
 # Slots of an endpoint before its first sample.
 FIRST_LIMIT = 8.0
-# Floor of a limit, in slots. Below one slot, so that an endpoint too slow for a tier has none for
-# it.
+# Lower bound of a limit, in slots. Below one, so that an endpoint too slow for a tier has no slot
+# for it.
 SMALLEST_LIMIT = 0.5
-# Slots that a late request finds even where the limit says none, and from which a limit is tried
-# again after STALE_S. Small, since the endpoint was too slow at the last look.
+# Slots for a late request even if the limit allows none, and the limit that is tried again after
+# STALE_S. Small, since the endpoint was too slow when last measured.
 LATE_LIMIT = 2.0
-# Ceiling of a limit, in slots; it only keeps a limit from growing without end.
+# Upper bound of a limit, in slots; it only keeps a limit from growing indefinitely.
 MAX_LIMIT = 512.0
-# What a sample above the target leaves of the limit.
+# Factor by which a sample above the target reduces the limit.
 DECREASE = 0.9
-# Slots that a round of good samples adds where the latency is far below its target.
+# Slots that a round of good samples adds if the latency is far below its target.
 FASTEST_INCREASE = 4.0
-# Share of the target up to which a latency counts as good; the rest is a margin for the time that
-# the limit takes to follow. Compared with 0.95 only together with another change; see above.
+# Ratio of latency to target up to which a sample counts as good. The rest is a margin for the time
+# that the limit takes to adapt.
 TARGET_SHARE = 0.85
-# Seconds between two decreases, so that one slow moment, which many streams see, counts once.
+# Minimum time between two decreases, so that one slow moment, seen by many streams, counts once.
 DECREASE_INTERVAL_S = 0.4
-# In flight as a share of the limit: from here on a good sample may raise it.
+# Requests in flight as a share of the limit, from which a good sample raises it.
 MIN_UTILIZATION_TO_RAISE = 0.75
-# In flight as a share of the limit: beyond this a sample says nothing about it.
+# Requests in flight as a share of the limit, above which a sample says nothing about it.
 MAX_UTILIZATION_TO_LEARN = 1.15
-# A limit without a sample for so long is tried again with LATE_LIMIT slots, in case the endpoint
-# has become faster.
+# Time without a sample after which a limit is tried again with LATE_LIMIT slots, in case the
+# endpoint has become faster.
 STALE_S = 5.0
 
 assert SMALLEST_LIMIT < 1 <= LATE_LIMIT <= FIRST_LIMIT <= MAX_LIMIT
@@ -53,9 +53,9 @@
     """The learnt limit of one tier at one endpoint.
 
     Attributes:
-      limit: In slots, with a fraction.
+      limit: Number of slots; may be fractional.
       next_decrease_s: No decrease before this time.
-      learnt_s: When a sample last said something about the limit.
+      learnt_s: When a sample was last close enough to the limit to count.
     """
 
     limit: float = FIRST_LIMIT
@@ -66,8 +66,8 @@
         """Adjust the limit to one latency.
 
         Args:
-          pressure: The latency as a share of its target.
-          in_flight: Requests that the endpoint had at a time.
+          latency_ratio: The latency divided by its target.
+          in_flight: Requests in flight at the endpoint when the latency was measured.
         """
         if in_flight > max(LATE_LIMIT, MAX_UTILIZATION_TO_LEARN * self.limit):
             return
@@ -86,7 +86,7 @@
         self.next_decrease_s = now_s + DECREASE_INTERVAL_S
 
     def slots(self, now_s: float) -> int:
-        """Return the limit in whole slots; one without a sample for STALE_S is tried again."""
+        """Return the limit in whole slots, raised to LATE_LIMIT after STALE_S without a sample."""
         if now_s - self.learnt_s > STALE_S:
             self.limit = max(LATE_LIMIT, self.limit)
         return int(self.limit)
@@ -108,22 +108,22 @@
     )
 
     def set_target(self, tier: Tier, request_class: str, between_s: float) -> None:
-        """Note the target for the time between tokens of a class."""
+        """Record a class's target for the time between tokens, in seconds."""
         self.targets_s[tier][request_class] = between_s
 
     def learn_between(self, now_s: float, between_s: float, in_flight: int) -> None:
         """Adjust all tiers' limits to the time between tokens of one stream.
 
-        A batch has one speed, so a stream of any tier shows what the others get.
+        All streams of a batch run at one speed, so a stream of any tier counts for all tiers.
         """
         for tier, targets in self.targets_s.items():
             if targets:
                 self.tiers[tier].learn(now_s, between_s / min(targets.values()), in_flight)
 
     def learn_first(self, now_s: float, tier: Tier, latency_ratio: float, in_flight: int) -> None:
-        """Adjust one tier's limit to the time to a first token, as a share of its target."""
+        """Adjust one tier's limit to a time to the first token, divided by its target."""
         self.tiers[tier].learn(now_s, latency_ratio, in_flight)
 
     def slots(self, now_s: float, tiers: set[Tier]) -> int:
-        """Return how many requests the endpoint takes while these tiers meet their targets."""
+        """Return the requests that the endpoint takes while all these tiers meet their targets."""
         return min(self.tiers[tier].slots(now_s) for tier in tiers)
--- a/packages/springbridge/springbridge/classes/slots/endpoint_choice.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_choice.py
@@ -1,11 +1,12 @@
-"""Asking order: at which endpoints does an attempt ask for a slot, first and then?
+"""Endpoint choice: selects the endpoints at which an attempt requests a slot.
 
-Decided: the endpoint that is asked first, and which others are asked once that one has no slot at
-once. Inputs: the endpoints that the request may use, how full each was for the tier as far as this
-node was told (a share of its slots), the tier and the request's affinity. Outcome: endpoints to
-slot request. Why: under light load one slot request is enough; asking the others as well and taking
-the first grant (late binding; Ousterhout and others, Sparrow, SOSP 2013) keeps a request from
-waiting behind a slow endpoint.
+Decides which endpoint is tried first, and which others once that one has no slot at once.
+Inputs: the endpoints that the request may use, the share of its slots that each had in use for the
+tier by the last decision that this node received, the tier, and the request's affinity.
+Result: endpoints at which to request a slot.
+Under light load one slot request is enough. Otherwise requesting slots at the others as well and
+taking the first grant (late binding; Ousterhout and others, Sparrow, SOSP 2013) keeps a request
+from waiting behind a slow endpoint.
 
 Urgent requests of all nodes prefer the same URGENT_PREFERRED endpoints, so that the others may run
 wide batches; other requests prefer the endpoint that may have their prefix cached.
@@ -20,17 +21,16 @@
 from springbridge.classes.ports import Attempt
 from springbridge.hashing import ranking
 
-# The key whose ranking names the endpoints that urgent requests prefer, the same on every node.
+# Key by whose rendezvous ranking urgent requests prefer endpoints; the same on every node.
 URGENT_PREFERENCE = "urgent"
-# Endpoints that urgent requests prefer. No gain is shown; see above.
+# Number of endpoints that urgent requests prefer.
 URGENT_PREFERRED = 2
-# Share of its slots up to which a preferred endpoint counts as having room. No gain over 0.7 is
-# shown; see above.
+# Share of its slots in use from which a preferred endpoint counts as full.
 PREFERENCE_BOUND = 0.5
-# Allowed endpoints up to which all are asked at once. Beyond that each attempt would cost too many
-# messages.
+# Allowed endpoints up to which slots are requested at all of them at once. With more, each attempt
+# would cost too many messages.
 ALL_WHILE_FEW = 12
-# Endpoints at which an attempt asks at a time where more than ALL_WHILE_FEW are allowed.
+# Concurrent slot requests of an attempt if more than ALL_WHILE_FEW endpoints are allowed.
 FAN_WHILE_MANY = 3
 
 assert FAN_WHILE_MANY <= ALL_WHILE_FEW
@@ -38,21 +38,21 @@
 
 @dataclass
 class UsedShares:
-    """How full endpoints were for a tier, by the last decision that this node got from there."""
+    """Shares of slots in use, by endpoint and tier, from the last decision received."""
 
     _shares: dict[tuple[str, Tier], float] = field(default_factory=dict)
 
     def note(self, slot_request: SlotRequest, share: float) -> None:
-        """Note the share of the slots in use, from the decision on a slot request."""
+        """Record the share of the slots in use, from the decision on a slot request."""
         self._shares[slot_request.endpoint, slot_request.tier] = share
 
     def find(self, endpoint: str, tier: Tier) -> float:
-        """Return the last share of an endpoint; 0 if there was none."""
+        """Return the last known share of an endpoint; 0 if there is none."""
         return self._shares.get((endpoint, tier), 0.0)
 
 
 def choose_first(attempt: Attempt, used: UsedShares, rng: random.Random) -> Endpoint:
-    """Return the endpoint to ask first: a preferred one with room, else the emptier of two."""
+    """Return the first endpoint to try: a preferred one with room, else the less used of two."""
     tier = attempt.request.request_class.tier
     for name in preferred(attempt.request, attempt.endpoints):
         if used.find(name, tier) < PREFERENCE_BOUND:
@@ -64,11 +64,12 @@
 def choose_others(
     attempt: Attempt, asked: set[str], waiting: int, rng: random.Random
 ) -> list[Endpoint]:
-    """Return the endpoints to ask next.
+    """Return the endpoints to try next.
 
     Args:
-      asked: Names of the endpoints that were asked already.
-      waiting: Asks of the attempt that wait for a decision; with none left, all others are asked.
+      asked: Names of the endpoints at which a slot was requested already.
+      waiting: Slot requests of the attempt that are pending; with none left, all other endpoints
+        are returned.
     """
     others = [endpoint for endpoint in attempt.endpoints if endpoint.name not in asked]
     if len(attempt.endpoints) <= ALL_WHILE_FEW or not waiting:
@@ -78,7 +79,7 @@
 
 
 def preferred(request: Request, endpoints: Sequence[Endpoint]) -> list[str]:
-    """Return the names of the endpoints that a request prefers, the best first."""
+    """Return the names of the endpoints that a request prefers, most preferred first."""
     names = {endpoint.name: 1.0 for endpoint in endpoints}
     if request.request_class.tier is Tier.URGENT:
         return ranking(URGENT_PREFERENCE, names)[:URGENT_PREFERRED]
--- a/packages/springbridge/springbridge/classes/slots/estimates.py
+++ b/packages/springbridge/springbridge/classes/slots/estimates.py
@@ -1,17 +1,17 @@
-"""Running estimates of what is not known in advance: answer lengths and durations.
+"""Running estimates of answer lengths and service times, which are not known in advance.
 
-Both take constant memory for each class and endpoint. No measurement set the constants.
+Both take constant memory for each class and endpoint.
 """
 
 from dataclasses import dataclass
 
-# Part of the estimate by which one sample moves a quantile at most. Smaller is calmer and slower to
-# follow.
+# Largest relative change of a quantile estimate by one sample. A smaller value varies less and
+# adapts more slowly.
 QUANTILE_STEP = 0.05
-# Share of samples that lie below the estimated quantile. Above the middle, so that most answers
-# take up no more of the endpoint's memory than was expected.
+# Share of samples below the estimated quantile. Above one half, so that most answers take up no
+# more of the endpoint's memory than expected.
 QUANTILE = 0.7
-# What the old value keeps of its weight in a mean at each sample: about the last ten count.
+# Weight of the old value in a mean at each new sample, which so covers about the last ten.
 MEAN_KEEP = 0.9
 
 
--- a/packages/springbridge/springbridge/classes/slots/minimum_share.py
+++ b/packages/springbridge/springbridge/classes/slots/minimum_share.py
@@ -1,19 +1,19 @@
-"""Minimum share: may a lower tier run one request while the top tier overloads an endpoint?
+"""Minimum share: one extra slot for lower tiers while the top tier overloads an endpoint.
 
-Decided: whether a slot request of a lower tier gets the one slot beyond the learnt limit. Inputs:
-the times, in seconds, at which top-tier slot requests were refused and at which each class asked
-and got the slot. Outcome: the slot, for the class that has been without it longest, or a refusal at
-once. Why: while top-tier requests are refused nothing of a lower tier may wait, and yet every class
-has to get through in the end. The slot takes nothing from the top tier's, and its work is not
-preempted. No measurement set the constants.
+Decides whether a lower-tier slot request gets the one slot beyond the learnt limit.
+Inputs: the times, in seconds, at which top-tier slot requests were refused and at which each class
+requested and got the extra slot.
+Result: the slot, for the class that has been without it longest, or a refusal at once.
+While top-tier requests are refused no lower-tier request may wait, yet no class may starve. The
+extra slot takes none from the top tier, and work in it is not preempted.
 """
 
 from dataclasses import dataclass, field
 
-# How long after a refused top-tier slot request lower tiers may not wait.
+# Time after a refused top-tier slot request in which lower-tier ones may not wait.
 OVERLOAD_S = 2.0
-# How long a class that asked counts when the slot goes to the class that lacked it longest. A class
-# that asks less often does not hold the slot back from the others.
+# Age up to which a class's last request counts when the slot goes to the class that has been
+# without it longest. A class that requests less often doesn't keep the slot from the others.
 RECENT_REQUEST_S = 10.0
 
 
@@ -24,7 +24,7 @@
     Attributes:
       holder: Id of the slot request that has it.
       served_s: When each class last got it.
-      requested_s: When each class last asked for it.
+      requested_s: When each class last requested it.
     """
 
     overloaded_until_s: float = 0.0
@@ -33,7 +33,7 @@
     requested_s: dict[str, float] = field(default_factory=dict)
 
     def note_top_tier_refusal(self, now_s: float) -> None:
-        """Note that a top-tier slot request is refused now."""
+        """Record that a top-tier slot request is refused now."""
         self.overloaded_until_s = now_s + OVERLOAD_S
 
     def is_overloaded(self, now_s: float) -> bool:
@@ -55,7 +55,7 @@
             self.holder = None
 
     def _is_turn(self, request_class: str, now_s: float) -> bool:
-        """Return whether no other class that still asks has been without the slot longer."""
+        """Return whether no other class with a recent request has been without the slot longer."""
         recent = [
             name
             for name, requested_s in self.requested_s.items()
