--- a/packages/springbridge/springbridge/classes/entities.py
+++ b/packages/springbridge/springbridge/classes/entities.py
@@ -1,6 +1,6 @@
-"""The plain records of the domain: what the operators' table holds and what a request is.
+"""Records of the domain: requests, and the operators' table of classes, customers and endpoints.
 
-All of them are frozen; the functions over them live in the other modules. Times are in seconds
+All are immutable; other modules hold the functions on them. Times are in seconds
 where a name ends in _s and in milliseconds where it ends in _ms.
 """
 
@@ -17,7 +17,7 @@
 
 
 class EndpointKind(Enum):
-    """What stands at an endpoint's address."""
+    """Kind of server at an endpoint's address."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -32,7 +32,7 @@
       between_tokens_ms: Latency target for the mean time between tokens.
       target: The model or the service that serves the class.
       max_wait_ms: Longest time that a request may wait for an endpoint before it is refused.
-      failure_domains: Where requests of the class may be handled.
+      failure_domains: Where requests of the class may be processed.
       repeatable: Whether a request of the class may be run more than once.
     """
 
@@ -51,7 +51,7 @@
     """A customer.
 
     Attributes:
-      failure_domains: Where the customer's requests may be handled.
+      failure_domains: Where the customer's requests may be processed.
       key_hashes: SHA-256 digests of its keys, in hex.
     """
 
@@ -83,10 +83,10 @@
 
     Attributes:
       address: IP number and port, such as 127.0.0.1:9000.
-      failure_domain: Failure domain in which the endpoint stands.
+      failure_domain: Failure domain in which the endpoint runs.
       target: The model that it has loaded or the service that it offers.
       token_capacity: Tokens of prompts and answers that fit its memory at a time.
-      checks_tokens: Whether it compares the fencing token of an order itself.
+      checks_tokens: Whether the endpoint itself rejects orders with an old fencing token.
     """
 
     name: str
@@ -103,9 +103,9 @@
     """The operators' table at one version.
 
     Attributes:
-      version: It only ever grows; 0 stands for no table.
+      version: Strictly increasing; 0 means that there is no table yet.
       shares: By customer and class.
-      keys: Name of the customer by digest of a key, derived from the customers.
+      keys: Customer name by key digest, derived from the customers.
     """
 
     version: int = 0
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """What coordination knows about a request; never its content.
+    """Metadata of a request for scheduling; never its content.
 
     Attributes:
       request_id: Given by the caller or by the entry node.
@@ -127,7 +127,7 @@
       max_wait_s: Longest time it may wait, counted from arrival.
       arrived_s: Arrival at the entry node, on that node's monotonic clock.
       prompt_tokens: Estimated length of the prompt.
-      affinity: Requests with the same text prefer the same endpoint; empty for no preference.
+      affinity: Requests with equal affinity prefer the same endpoint; empty for no preference.
     """
 
     request_id: str
--- a/packages/springbridge/springbridge/classes/invariants.py
+++ b/packages/springbridge/springbridge/classes/invariants.py
@@ -1,23 +1,28 @@
-"""Invariants that the program asserts while it runs.
+"""Invariants that are checked at run time.
 
-A violation is counted and reported in every run. Test runs set abort: the process ends at the first
-violation, whose log line is then the last one.
+A violation is counted and reported in every run. With abort set, as in test runs, the process ends
+at the first violation, so that its log line is the last one.
 """
 
 import os
 from collections import Counter
 from collections.abc import Callable
 
-# Exit status after a violation in test runs; the soak recognises it. The EX_SOFTWARE of sysexits.h,
-# an internal software error.
+# Exit status after a violation in test runs, by which the soak test recognises it: EX_SOFTWARE
+# (internal software error) of sysexits.h.
 ABORT_STATUS = 70
 
 
 class Invariants:
-    """Counts, reports and, in test runs, stops at violated invariants."""
+    """Counts and reports violated invariants, and aborts at the first one if told to."""
 
     def __init__(self, report: Callable[[str, str], None] | None = None, abort: bool = False):
-        """Keep the way to report a violation (name and detail) and whether to stop at one."""
+        """Start with no checks counted.
+
+        Args:
+          report: Called with the name and detail of a violation; None reports nothing.
+          abort: Whether a violation ends the process.
+        """
         self._report = report
         self._abort = abort
         self.violations: Counter[str] = Counter()
--- a/packages/springbridge/springbridge/classes/ports.py
+++ b/packages/springbridge/springbridge/classes/ports.py
@@ -1,7 +1,7 @@
-"""Ports: what the decisions need from outside; the node package holds the adapters.
+"""Interfaces of the library to its surroundings; the node package implements them.
 
-The platform's table and list of instances, the clients of endpoints, and the policy that gives
-slots.
+They are the platform's table and list of instances, the clients of endpoints, and the policy that
+grants slots.
 """
 
 from collections.abc import AsyncIterator
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True)
 class Listed:
-    """An entry of the platform's list of instances, which lags behind the truth."""
+    """An entry of the platform's list of instances, which may be out of date."""
 
     peer_address: str
     leaving: bool
 
 
 class InstanceList(Protocol):
-    """The platform's lagging list of live and leaving instances."""
+    """The platform's list of live and leaving instances, which may be out of date."""
 
     async def instances(self) -> Result[list[Listed], Problem]:
         """Return the listed instances, or TABLE_UNAVAILABLE."""
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True)
 class OrderLease:
-    """The right to give orders to one endpoint.
+    """A lease for sending orders to one endpoint.
 
     Attributes:
-      epoch: Fencing token; it grows with each change of holder.
-      valid_s: Seconds, counted from before the write, for which the holder may act.
+      epoch: Fencing token; it increases with each change of holder.
+      valid_s: Seconds for which the holder may act, counted from before the lease was written.
     """
 
     epoch: int
@@ -51,9 +51,9 @@
 
 
 class TableStore(Protocol):
-    """The platform's transactional table service, for what must last or be agreed.
+    """The platform's transactional table service, for state that must be durable or agreed.
 
-    A write whose reply is lost is settled by reading back before the call returns; if that fails
+    If the reply to a write is lost, the outcome is read back before the call returns; if that fails
     too, the result is EDIT_UNKNOWN or TABLE_UNAVAILABLE as the method says.
     """
 
@@ -70,14 +70,14 @@
         """Return the accepted change with this id, or None."""
 
     async def commit(self, change: Change) -> Result[None, Problem]:
-        """Write rows, version and audit record in one transaction on the version before.
+        """Write rows, version and audit record in one transaction, if the previous version stands.
 
         Returns:
-          Nothing, or MOVED_ON if another change came first.
+          Nothing, or MOVED_ON if another change was committed first.
         """
 
     async def claim(self, request_id: str, node: str) -> Result[str, Problem]:
-        """Return the node that claimed an id without a home first; this one if nobody had."""
+        """Claim an id without a home for a node; return the node that claimed it first."""
 
     async def take_lease(self, endpoint: str, holder: str) -> Result[OrderLease, Problem]:
         """Take or renew the lease for orders to an endpoint, or return ORDER_REFUSED."""
@@ -89,9 +89,9 @@
 
     Attributes:
       priority: Tier of the class; a lower number goes first.
-      offset: Tokens of the answer that exist already; the endpoint goes on from there.
+      offset: Tokens of the answer that exist already; the endpoint continues from there.
       prefix: Text of those tokens.
-      body: What the caller sent.
+      body: Body of the caller's request.
       path: Path below the service, for plain services.
     """
 
@@ -110,8 +110,8 @@
         """Start a job and yield its chunks.
 
         Raises:
-          NotAdmittedError: The endpoint turned the job away before it started.
-          EndpointError: Anything else went wrong; the job may have started.
+          NotAdmittedError: The endpoint rejected the job before starting it.
+          EndpointError: Any other failure; the job may have started.
         """
 
     def resume(self, endpoint: Endpoint, request_id: str, offset: int) -> AsyncIterator[Chunk]:
@@ -119,7 +119,7 @@
 
         Raises:
           NotAdmittedError: The endpoint does not know the job.
-          EndpointError: The endpoint cannot be asked.
+          EndpointError: The endpoint cannot be reached.
         """
 
     async def cancel(self, endpoint: Endpoint, request_id: str) -> None:
@@ -131,7 +131,7 @@
 
 
 class EndpointError(Exception):
-    """The job may have started; nothing more will come from this attempt."""
+    """The attempt failed; the job may have started."""
 
 
 class OrderKind(Enum):
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """What a slot is wanted for.
+    """One try to serve a request, for which a slot is needed.
 
     Attributes:
       endpoints: All endpoints that the request may use.
@@ -166,21 +166,21 @@
     resumable: bool
 
     def endpoint_named(self, name: str) -> Endpoint:
-        """Return the endpoint of that name."""
+        """Return the allowed endpoint of that name; it must be one of endpoints."""
         return next(endpoint for endpoint in self.endpoints if endpoint.name == name)
 
 
 class SlotSource(Protocol):
-    """A policy that decides which endpoint serves an attempt, and when."""
+    """A policy that selects the endpoint of an attempt and grants it a slot."""
 
     async def acquire(self, attempt: Attempt) -> Result[Slot, Problem]:
         """Wait for a slot, or return the problem that refuses the attempt."""
 
     def sample(self, slot: Slot, sample: Sample) -> None:
-        """Report what is seen of a slot in use."""
+        """Report latencies and tokens of a slot in use."""
 
     def release(self, slot: Slot, outcome: Outcome, sample: Sample) -> None:
         """Give a slot back."""
 
     async def preempted(self, slot: Slot) -> None:
-        """Return when the slot has to be given back."""
+        """Wait until the slot must be given back."""
--- a/packages/springbridge/springbridge/classes/request_ids.py
+++ b/packages/springbridge/springbridge/classes/request_ids.py
@@ -1,8 +1,8 @@
-"""Request ids that name their home, the only node that may run a request that is not repeatable.
+"""Request ids; an id may name its home, the only node that may run a non-repeatable request.
 
-An id reads ``<home incarnation>~<issued>~<unique>``. The first two parts come with the address
-answer as a prefix; the caller adds the unique part. Issued is the time of the address answer in
-whole seconds since 1970. An id without a home has no ``~`` in it.
+The format is ``<home incarnation>~<issued>~<unique>``. The caller gets the first two parts as a
+prefix with the list of addresses and adds the unique part. Issued is when the list was sent, in
+whole seconds since 1970. An id without a home contains no ``~``.
 """
 
 import re
@@ -26,8 +26,8 @@
 
     Attributes:
       text: The id as the caller sent it.
-      home: Incarnation of the node that may run the request; empty where the id names none.
-      issued_s: Seconds since 1970; 0 where the id names no home.
+      home: Incarnation of the node that may run the request; empty if the id names none.
+      issued_s: When its prefix was issued, in seconds since 1970; 0 if the id names no home.
     """
 
     text: str
@@ -36,12 +36,12 @@
 
 
 def prefix(home: str, issued_s: float) -> str:
-    """Return the prefix that a caller puts before the unique part."""
+    """Return the prefix to which a caller appends the unique part."""
     return f"{home}{SEPARATOR}{int(issued_s)}{SEPARATOR}"
 
 
 def parse(text: str) -> Result[RequestId, Problem]:
-    """Return the id that a caller sent, or REQUEST_ID_MALFORMED."""
+    """Parse an id that a caller sent; a malformed one is REQUEST_ID_MALFORMED."""
     homed = HOMED.match(text)
     if homed is not None:
         return Success(RequestId(text, homed[1], int(homed[2])))
--- a/packages/springbridge/springbridge/classes/retry_budget.py
+++ b/packages/springbridge/springbridge/classes/retry_budget.py
@@ -1,9 +1,9 @@
-"""Retry budget: may this node send a repeatable request to another endpoint after a failure?
+"""Retry budget of one node: limits retries of repeatable requests to a share of fresh requests.
 
-Decided: whether one more retry is allowed. Inputs: the fresh requests and retries of this node so
-far, as tokens without a unit of time. Outcome: the retry is taken from the budget or refused. Why:
-retries are a share of fresh traffic, so they cannot multiply an overload. No measurement set the
-constants.
+Decides whether a repeatable request may be sent to another endpoint after a failure.
+Inputs: the fresh requests and the retries of this node so far, as tokens without a unit of time.
+Result: the retry is taken from the budget, or refused.
+As retries are a share of fresh traffic, they cannot multiply an overload.
 
 The budget is this node's own and covers all classes; springbridge.routing.shared_retry_budget
 divides one budget for each service between all nodes.
@@ -11,12 +11,12 @@
 
 from dataclasses import dataclass
 
-# Retries that each fresh request adds. It bounds the load that retries add to a tenth in the long
-# run.
+# Retries that each fresh request adds to the budget. In the long run retries add at most a tenth to
+# the load.
 RETRY_SHARE = 0.1
-# Most retries that may be saved up, and so the longest run of retries at once.
+# Capacity of the budget, and so the largest burst of retries.
 LARGEST_BUDGET = 20.0
-# Retries that a new node has before its first request.
+# Retries in the budget of a new node before its first request.
 FIRST_BUDGET = 5.0
 
 
@@ -27,7 +27,7 @@
     tokens: float = FIRST_BUDGET
 
     def fresh(self) -> None:
-        """Note a fresh request."""
+        """Count a fresh request, which adds RETRY_SHARE to the budget."""
         self.tokens = min(LARGEST_BUDGET, self.tokens + RETRY_SHARE)
 
     def try_retry(self) -> bool:
--- a/packages/springbridge/springbridge/classes/stream.py
+++ b/packages/springbridge/springbridge/classes/stream.py
@@ -1,9 +1,10 @@
-"""Whole answers: is this chunk the next one of its answer, and is the answer complete?
+"""Answer integrity: checks that the chunks of an answer follow each other and that it is complete.
 
-Decided: whether a chunk is passed on. Inputs: its request id, its offset and its length in tokens.
-Outcome: the chunk, nothing for a repeated piece, or ANSWER_INCOMPLETE. Why: an answer that is
-joined from several attempts must have no gap, no overlap and no piece of another request. There
-are no constants.
+Decides whether a chunk is passed on.
+Inputs: its request id, its offset and its length in tokens.
+Result: the chunk, nothing for a repeated chunk, or ANSWER_INCOMPLETE.
+An answer that is joined from several attempts must have no gap, no overlap and no chunk of another
+request.
 """
 
 from dataclasses import dataclass
@@ -16,14 +17,14 @@
 
 @dataclass(frozen=True)
 class Chunk:
-    """A piece of an answer.
+    """A part of an answer.
 
     Attributes:
-      request_id: The request that the piece answers.
-      offset: Number of tokens before this piece.
-      tokens: Number of tokens in this piece.
-      text: The piece itself.
-      last: Whether the answer ends with this piece.
+      request_id: The request that the chunk answers.
+      offset: Number of tokens of the answer before this chunk.
+      tokens: Number of tokens in this chunk.
+      text: Text of the tokens.
+      last: Whether the answer ends with this chunk.
     """
 
     request_id: str
@@ -35,18 +36,18 @@
 
 @dataclass
 class StreamCheck:
-    """Follows one answer and accepts only its next chunk."""
+    """Checks the chunks of one answer; accepts only the next one."""
 
     request_id: str
     offset: int = 0
     ended: bool = False
 
     def accept(self, chunk: Chunk) -> Result[Chunk | None, Problem]:
-        """Check a chunk against what came before it.
+        """Check a chunk against the chunks before it.
 
         Returns:
-          The chunk; None for a piece that was there already and is left out; or a problem for a
-          foreign piece, a gap, an overlap or a piece after the end.
+          The chunk; None for a repeated chunk, which is dropped; or a Problem for a chunk of
+          another request, a gap, an overlap or a chunk after the end.
         """
         if chunk.request_id != self.request_id:
             return self._broken("a piece of another request arrived")
@@ -61,7 +62,7 @@
         return Success(chunk)
 
     def finish(self) -> Result[None, Problem]:
-        """Return a problem unless the end marker was seen."""
+        """Return a Problem unless the last chunk was accepted."""
         if self.ended:
             return Success(None)
         return self._broken(f"the stream broke off at offset {self.offset}")
