--- a/packages/springbridge/springbridge/classes/__init__.py
+++ b/packages/springbridge/springbridge/classes/__init__.py
@@ -1,1 +1,1 @@
-"""Routing by class and table: the decisions of ``springbridge serve``."""
+"""Routing by request class and operators' table: the library behind ``springbridge serve``."""
--- a/packages/springbridge/springbridge/classes/slots/__init__.py
+++ b/packages/springbridge/springbridge/classes/slots/__init__.py
@@ -1,1 +1,1 @@
-"""Which request gets a slot of an endpoint next: queues, schedulers and the limits of a batch."""
+"""Slots of endpoints: schedulers, queues and concurrency limits, and the entry node's client."""
--- a/packages/springbridge/springbridge/classes/table/__init__.py
+++ b/packages/springbridge/springbridge/classes/table/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' table: its rows, records and changes, and whether a copy of it is fresh."""
+"""The operators' table: its rows, records and changes, and whether a node's copy is fresh."""
--- a/packages/springbridge/springbridge/classes/table/build.py
+++ b/packages/springbridge/springbridge/classes/table/build.py
@@ -1,6 +1,7 @@
-"""Make the operators' table from its rows, whole or one change at a time.
+"""Builds the operators' table from its rows, or updates it by one change.
 
-A row that cannot be read is left out of the table and reported, so that one bad row stops nobody.
+A row that cannot be parsed is left out of the table and reported, so that one bad row doesn't make
+the others unusable.
 """
 
 from collections.abc import Mapping
@@ -16,14 +17,14 @@
 
 @dataclass(frozen=True)
 class BuiltTable:
-    """A table, and a problem for each row that had to be left out of it."""
+    """A table, and a Problem for each row that was left out because it cannot be parsed."""
 
     table: Table
     problems: tuple[Problem, ...]
 
 
 def build(version: int, rows: Mapping[str, Cells]) -> BuiltTable:
-    """Return the table that rows make up."""
+    """Build the table from all rows of a version."""
     table = Table(version)
     problems: list[Problem] = []
     for key, cells in rows.items():
@@ -62,9 +63,9 @@
 
 
 def updated(table: Table, version: int, rows: Mapping[str, Cells | None]) -> Table:
-    """Return the table after a change; None stands for a row that was removed.
+    """Return the table after a change; None stands for a removed row.
 
-    It reads the changed rows only and copies the mappings.
+    Only the changed rows are parsed; the mappings are copied.
     """
     after = Table(
         version,
--- a/packages/springbridge/springbridge/classes/table/changes.py
+++ b/packages/springbridge/springbridge/classes/table/changes.py
@@ -1,8 +1,8 @@
-"""Changes of the operators' table: edits, the audit record, and how versions follow each other.
+"""Changes of the operators' table: edits, their checks, the audit record and the next version.
 
 An accepted change is one audit record. The same record is the increment from one version to the
-next, so the trail never differs from what was applied, and a node that lags by a few versions reads
-a few records instead of the whole table.
+next, so the audit trail never differs from what was applied, and a node that is a few versions
+behind reads a few records instead of the whole table.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Edit:
-    """One row before and after a change; None stands for no row."""
+    """One row before and after a change; None means that the row does not exist."""
 
     key: str
     before: Cells | None
@@ -31,9 +31,9 @@
     """An accepted change, which is also its row in the audit trail.
 
     Attributes:
-      version: The version that the change leads to.
-      change_id: Chosen by the operator's command. After a lost reply it shows whether the change
-        was accepted.
+      version: The version that results from the change.
+      change_id: Chosen by the operator's command. It shows whether the change was accepted if the
+        reply was lost.
       who: Name of the operator.
       when: Time of the change in UTC, in ISO 8601.
     """
@@ -54,12 +54,12 @@
 
 
 def encode_change(change: Change) -> bytes:
-    """Return the change as it is stored and sent."""
+    """Serialize a change to JSON, as it is stored and sent."""
     return orjson.dumps(change)
 
 
 def decode_change(data: bytes) -> Change:
-    """Return the change that encode_change wrote."""
+    """Parse a change that encode_change serialized."""
     raw = orjson.loads(data)
     edits = tuple(Edit(**edit) for edit in raw.pop("edits"))
     return Change(edits=edits, **raw)
@@ -83,10 +83,10 @@
 
 
 def check_edits(snapshot: Snapshot, edits: tuple[Edit, ...]) -> Result[Snapshot, list[Problem]]:
-    """Check edits against the snapshot that they are to follow.
+    """Check edits against the snapshot that they would apply to.
 
     Edits that change nothing are refused. Accepted, they would use up a version and an audit
-    record, and a racing edit of the same rows would not notice them.
+    record, and a concurrent edit of the same rows would not detect them.
 
     Returns:
       The snapshot after the edits, or every problem that was found.
@@ -104,7 +104,7 @@
 
 
 def _check_rows(snapshot: Snapshot, edits: tuple[Edit, ...]) -> list[Problem]:
-    """Return a problem for each edit whose row is malformed or was changed in the meantime."""
+    """Return a Problem for each edit whose row is malformed or was changed concurrently."""
     problems = []
     for edit in edits:
         found = snapshot.rows.get(edit.key)
@@ -115,7 +115,7 @@
 
 
 def _malformed_row(edit: Edit) -> list[Problem]:
-    """Return the problem of an edit whose key or new row cannot be read.
+    """Return the Problem of an edit whose key or new row cannot be parsed.
 
     The key is checked also where an edit only demands that there is no row. Nodes apply each edit
     of an accepted change to their table, and fail at a key that names no kind of row.
@@ -130,7 +130,7 @@
 
 
 def _conflict(edit: Edit, found: Cells | None) -> Problem:
-    """Return the problem that shows both sides of a racing edit."""
+    """Return the Problem of a conflicting edit, with the row as found and as expected."""
     detail = f"the row is now {_show(found)}; your edit expected {_show(edit.before)}"
     return Problem(Code.VERSION_CONFLICT, detail, edit.key)
 
@@ -142,7 +142,7 @@
 
 
 def difference(snapshot: Snapshot, rows: Mapping[str, Cells]) -> tuple[Edit, ...]:
-    """Return the edits that lead from a snapshot to the given rows."""
+    """Return the edits that turn a snapshot into the given rows."""
     keys = sorted(snapshot.rows.keys() | rows.keys())
     edits = (Edit(key, snapshot.rows.get(key), rows.get(key)) for key in keys)
     return tuple(edit for edit in edits if edit.before != edit.after)
--- a/packages/springbridge/springbridge/classes/table/checks.py
+++ b/packages/springbridge/springbridge/classes/table/checks.py
@@ -1,4 +1,4 @@
-"""Checks that need several rows of the operators' table; changes and sheets have to pass them."""
+"""Checks across rows of the operators' table, for changes and imported sheets."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 
 
 def check_references(rows: Mapping[str, Cells]) -> list[Problem]:
-    """Return a problem for each share whose customer or class has no row."""
+    """Return a Problem for each share whose customer or class has no row."""
     problems = []
     for key in rows:
         parts = key.split("/")
@@ -21,7 +21,7 @@
 
 
 def check_key_owners(rows: Mapping[str, Cells]) -> list[Problem]:
-    """Return a problem for each key digest that a second customer has."""
+    """Return a Problem for each key digest that more than one customer has."""
     owners: dict[str, str] = {}
     problems = []
     for key, cells in rows.items():
--- a/packages/springbridge/springbridge/classes/table/freshness.py
+++ b/packages/springbridge/springbridge/classes/table/freshness.py
@@ -1,13 +1,15 @@
-"""Table freshness: may this node serve under the table that it holds?
+"""Table freshness: whether a node may serve under the version of the table that it holds.
 
-Decided: whether a node serves. Inputs: seconds since its version was last known to be the newest
-(by its own read of the platform's table or through a peer that read it), whether the table is out
-here and at the peers, their versions, and whether it reaches a majority of all nodes. Outcome: it
-serves, or refuses with CONFIG_NOT_FRESH. Why: an accepted change has to be in force on every node
-that serves within IN_FORCE_S. While the table is out for everybody, nobody can accept a change, so
-a majority that finds it out may go on: a change is accepted only by a node that reaches the table
-and a majority, and two majorities share a node, through which the change reaches the others.
-The full argument is in docs/design/configuration.md; no measurement set the constants.
+Decides whether a node serves.
+Inputs: seconds since its version was last known to be the newest (by its own read of the platform's
+table, or from a peer that read it), whether the table is unavailable to this node and to its peers,
+their versions, and whether the node reaches a majority of all nodes.
+Result: the node serves, or refuses with CONFIG_NOT_FRESH.
+An accepted change must be in force on every serving node within IN_FORCE_S. While the table is
+unavailable to all nodes, no change can be accepted, so a majority that finds it unavailable may
+continue: a change is accepted only by a node that reaches the table and a majority, and any two
+majorities share a node, through which the change reaches the others. The full argument is in
+docs/design/configuration.md.
 """
 
 from collections.abc import Iterable
@@ -15,15 +17,17 @@
 
 from springbridge.membership import Member
 
-# Within what time of its acceptance a change has to be in force on every node that serves.
+# Time after its acceptance within which a change must be in force on every serving node.
 IN_FORCE_S = 4.0
-# How long a node serves without a confirmation of its version. Between the second from one read of
-# the version to the next and IN_FORCE_S.
+# How long a node serves without a confirmation of its version. Longer than the second between two
+# reads of the version, and shorter than IN_FORCE_S.
 STALE_S = 3.0
-# A confirmation that never was, on any clock.
+# Time of a confirmation that has not happened; long past on any clock.
 NEVER_S = -1e9
 
-assert STALE_S < IN_FORCE_S, "a node without news has to stop before a change counts as in force"
+assert (
+    STALE_S < IN_FORCE_S
+), "a node without a confirmation must stop before a change counts as in force"
 
 
 @dataclass
@@ -32,6 +36,7 @@
 
     Attributes:
       version: Version of the table that this node holds; 0 for none.
+      confirmed_s: When that version was last known to be the newest.
       table_out: Whether this node's last read of the platform's table failed.
     """
 
@@ -40,7 +45,7 @@
     table_out: bool = True
 
     def confirmed(self, version: int, at_s: float) -> None:
-        """Note that a version was the newest at a time."""
+        """Record that a version was the newest at a time; older versions are ignored."""
         if version == self.version:
             self.confirmed_s = max(self.confirmed_s, at_s)
         elif version > self.version:
@@ -48,13 +53,13 @@
             self.confirmed_s = at_s
 
     def learn_from(self, peers: Iterable[Member], now_s: float) -> None:
-        """Take over the confirmation of a peer that has the same version."""
+        """Adopt the confirmations of peers that have the same version."""
         for peer in peers:
             if peer.config_version == self.version:
                 self.confirmed(peer.config_version, now_s - peer.confirmed_ago_s)
 
     def ago_s(self, now_s: float) -> float:
-        """Return how long ago the version was known to be the newest."""
+        """Return the seconds since the version was last known to be the newest."""
         return now_s - self.confirmed_s
 
 
@@ -64,6 +69,7 @@
     """Return whether the node may serve under the version that it holds.
 
     Args:
+      sees_majority: Whether this node reaches a majority of all nodes.
       peers: The other nodes that this one reaches.
     """
     if confirmation.version == 0:
--- a/packages/springbridge/springbridge/classes/table/rows.py
+++ b/packages/springbridge/springbridge/classes/table/rows.py
@@ -1,9 +1,9 @@
-"""One row of the operators' table: the cells that are stored and the record that they stand for.
+"""Parses rows of the operators' table: text cells, as stored, to the records of entities.py.
 
 A row has a key such as ``class/claims`` or ``share/councils/claims`` and cells of plain text. The
-cells are what operators edit, what the audit trail keeps and what the platform's table stores, so
-the names of kinds and columns stay as they are: ``engine`` is an endpoint, ``place`` a failure
-domain. The records of entities.py are made from cells here and nowhere else.
+operators edit these cells, the audit trail keeps them and the platform's table stores them, so the
+names of kinds and columns must not change: ``engine`` is an endpoint, ``place`` a failure domain.
+The records of entities.py are made from cells only here.
 """
 
 import math
@@ -23,11 +23,11 @@
 from springbridge.codes import Code
 from springbridge.problems import Problem
 
-# Names of rows, targets and failure domains: they go into keys, headers and metrics unescaped.
+# Names of rows, targets and failure domains. Keys, headers and metrics contain them unescaped.
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z")
 # A SHA-256 digest in lower-case hex.
 DIGEST = re.compile(r"[0-9a-f]{64}\Z")
-# An IP number and a port; names are not looked up.
+# An IPv4 address and a port; host names are not resolved.
 ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}\Z")
 
 COLUMNS: dict[str, tuple[str, ...]] = {
@@ -51,7 +51,7 @@
 
 
 class CellError(Exception):
-    """A cell does not hold what its column takes."""
+    """A cell has no valid value for its column."""
 
     def __init__(self, column: str, wanted: str):
         super().__init__(f"column {column} takes {wanted}")
@@ -77,7 +77,7 @@
 
 
 def _choice(cells: Cells, column: str, choices: Mapping[str, object]) -> object:
-    """Return the value that the word in a cell stands for."""
+    """Return the value of the keyword in a cell; case is ignored."""
     try:
         return choices[cells[column].strip().lower()]
     except KeyError:
@@ -103,13 +103,13 @@
 YES_NO = {"yes": True, "no": False}
 TIERS = {tier.name.lower(): tier for tier in Tier}
 KINDS = {kind.value: kind for kind in EndpointKind}
-# Bounds of cells against slips of the hand, far beyond what is used.
+# Bounds of cells against typing errors, far beyond the values in use.
 LONGEST_MS = 24 * 3600 * 1000
-# Lower bound of weights and rates: both are divided by.
+# Lower bound of weights and rates, since both are divisors.
 SMALLEST_NUMBER = 0.01
-# Upper bound of weights, rates (starts a second) and concurrency, against slips.
+# Upper bound of weights, rates (starts per second) and concurrency, against typing errors.
 LARGEST_NUMBER = 10**6
-# Upper bound of an endpoint's memory in tokens, against slips.
+# Upper bound of an endpoint's memory in tokens, against typing errors.
 LARGEST_TOKEN_CAPACITY = 10**9
 
 
@@ -166,7 +166,7 @@
 
 
 def parse(key: str, cells: Cells) -> Result[Record, Problem]:
-    """Return the record that a row stands for.
+    """Parse a row.
 
     Args:
       key: The row's key, such as share/councils/claims.
@@ -189,7 +189,7 @@
 
 
 def key_problem(key: str) -> Problem | None:
-    """Return ROW_MALFORMED for a key that no row can have, else None."""
+    """Return ROW_MALFORMED for a key that is not valid, else None."""
     kind, *names = key.split("/")
     if kind not in COLUMNS or len(names) + 1 != KEY_PARTS[kind]:
         detail = "the key must be class/X, customer/X, share/X/Y or engine/X"
--- a/packages/springbridge/springbridge/classes/table/sheet.py
+++ b/packages/springbridge/springbridge/classes/table/sheet.py
@@ -1,4 +1,4 @@
-"""The operators' table as a spreadsheet in CSV.
+"""Exports the operators' table to CSV and loads it, for editing in a spreadsheet.
 
 Each line is a row; columns that do not belong to the row's kind are empty.
 """
@@ -33,8 +33,8 @@
     """Read rows from CSV.
 
     Returns:
-      The rows, or all problems, each with its line as the source; a sheet is taken whole or not at
-      all.
+      The rows, or all problems, each with its line as the source. One problem rejects the whole
+      sheet.
     """
     reader = csv.DictReader(io.StringIO(text), restkey="")
     if reader.fieldnames is None or list(reader.fieldnames) != HEADER:
--- a/packages/springbridge/springbridge/classes/table/sheet_test.py
+++ b/packages/springbridge/springbridge/classes/table/sheet_test.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(("key", "column", "text"), BAD_CELLS)
-def test_bad_cell_is_named_and_nothing_is_taken(rows, key, column, text):
+def test_bad_cell_is_named_and_nothing_is_loaded(rows, key, column, text):
     rows[key] = {**rows[key], column: text}
     problems = sheet.load(sheet.export(rows)).failure()
     assert_that(problems[0].code, Is(Code.ROW_MALFORMED))
@@ -96,7 +96,7 @@
     assert_that({problem.code for problem in result.failure()}, Equals({Code.ROW_MALFORMED}))
 
 
-def test_racing_edit_of_the_same_row_shows_both_sides(snapshot):
+def test_conflicting_edit_of_the_same_row_shows_both_sides(snapshot):
     key = "share/swan/claim-answers"
     mine = Edit(key, {**snapshot.rows[key], "weight": "9"}, {**snapshot.rows[key], "weight": "5"})
     problem = check_edits(snapshot, (mine,)).failure()[0]
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("guards", [0, 1, 2])
 def test_edit_that_leaves_the_table_as_it_is_is_refused(snapshot, guards):
-    """Accepted, it would use up a version and a row of the trail, and win beside the winner."""
+    """Accepted, it would use up a version and an audit record, and miss a concurrent edit."""
     keys = ["share/swan/claim-answers", "customer/swan"][:guards]
     edits = tuple(Edit(key, snapshot.rows[key], snapshot.rows[key]) for key in keys)
     problems = check_edits(snapshot, edits).failure()
@@ -154,7 +154,7 @@
     assert_that(decode_change(encode_change(change)), Equals(change))
 
 
-def test_difference_leads_from_one_table_to_the_other(snapshot, rows):
+def test_difference_turns_one_table_into_the_other(snapshot, rows):
     after = {**rows, "class/new": rows["class/claim-answers"]}
     del after["engine/matching-1"]
     change = Change(4, "id", "who", "when", difference(snapshot, after))
@@ -162,8 +162,8 @@
     assert_that(apply(snapshot, change).rows, Equals(after))
 
 
-def test_updating_equals_building_anew(snapshot):
-    """A table kept up to date by changes is the one that its rows would make from scratch."""
+def test_updating_equals_rebuilding(snapshot):
+    """A table updated by changes equals the one built from its rows."""
     rng = random.Random(3)
     rows = dict(snapshot.rows)
     table = build(3, rows).table
