--- a/packages/springbridge/springbridge/classes/binding_test.py
+++ b/packages/springbridge/springbridge/classes/binding_test.py
@@ -1,4 +1,4 @@
-"""Tests of binding.py, request_ids.py and stream.py: at most once, and whole answers."""
+"""Tests of binding.py, request_ids.py and stream.py: at-most-once execution, complete answers."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def bindings(clock, invariants):
-    """Return the records of a home."""
+    """Return the records of a home node."""
     return RequestRecords(clock, lambda: WALL_S + clock() - 1000.0, invariants)
 
 
@@ -58,7 +58,7 @@
     assert_that(bindings.hand_over(one, "c", "other").unwrap().stage, Equals(Stage.WAITING))
 
 
-def test_id_turned_away_by_an_engine_may_be_sent_to_another(bindings):
+def test_id_rejected_by_an_endpoint_may_be_sent_to_another(bindings):
     one = request_id()
     bindings.admit(one, "c")
     bindings.begin_dispatch(one.text)
@@ -73,7 +73,7 @@
     assert_that(bindings.hand_over(one, "b/claims", "n").failure().code, Is(Code.REQUEST_ID_REUSED))
 
 
-def test_id_older_than_the_memory_is_turned_away(bindings, clock):
+def test_id_older_than_the_records_is_refused(bindings, clock):
     one = request_id()
     bindings.admit(one, "c")
     bindings.finish(one.text, REFUSED)
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_any_order_of_events_dispatches_once(bindings, seed):
-    """Retries, hand-overs and attempts in random order: at most one dispatch stands."""
+    """Retries, hand-overs and attempts in random order leave at most one dispatch."""
     rng = random.Random(seed)
     one = request_id()
     standing = 0
@@ -154,12 +154,12 @@
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.permutations(range(6)), st.lists(st.integers(0, 5), max_size=3))
-def test_no_order_of_pieces_makes_a_mixed_answer(order, repeats):
-    pieces = [chunk(2 * number, last=number == 5) for number in range(6)]
+def test_no_order_of_chunks_makes_a_mixed_answer(order, repeats):
+    chunks = [chunk(2 * number, last=number == 5) for number in range(6)]
     check = StreamCheck("r")
     text = []
     for number in [*order, *repeats]:
-        match check.accept(pieces[number]):
+        match check.accept(chunks[number]):
             case Success(Chunk() as fresh):
                 text.append(fresh.offset)
             case Failure(_):
--- a/packages/springbridge/springbridge/classes/endpoint_health_test.py
+++ b/packages/springbridge/springbridge/classes/endpoint_health_test.py
@@ -1,4 +1,4 @@
-"""Tests of endpoint_health.py: suspension after failures in a row, and the way back."""
+"""Tests of endpoint_health.py: suspension after failures in a row, probing and recovery."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge/springbridge/classes/limits_test.py
+++ b/packages/springbridge/springbridge/classes/limits_test.py
@@ -1,4 +1,4 @@
-"""Tests of limits.py: the sum over nodes stays within the stated error."""
+"""Tests of limits.py: the sum over all nodes exceeds a limit at most by the stated error."""
 
 import random
 
@@ -24,13 +24,13 @@
 
 
 def settle(owner, clock):
-    """Let the owner pass its grace, as after its first seconds."""
+    """Advance the clock until the owner's grace period is over."""
     owner.lease(NodeLimit(SHARE).lease_request(NODES[0]), SHARE, len(NODES))
     clock.advance(OWNER_GRACE_S)
 
 
 def start(node, limit, owner, clock):
-    """Try a start as an entry node does: from the lease, else after asking the owner."""
+    """Try a start as an entry node does: from its lease, else after a request to the owner."""
     limit.count_demand()
     if limit.try_start(clock()):
         return True
@@ -42,7 +42,7 @@
 
 
 def offered(owner, clock, seconds, seed=1, hold_s=0.0):
-    """Offer three times the rate at random nodes; return starts and the most at a time."""
+    """Offer three times the rate at random nodes; return the starts and the peak concurrency."""
     rng = random.Random(seed)
     limits = {node: NodeLimit(SHARE) for node in NODES}
     running = []
@@ -102,7 +102,7 @@
     assert_that(started, Equals([True] * 3 * len(NODES)))
 
 
-def test_refusal_says_when_to_come_back(clock):
+def test_refusal_carries_a_retry_time(clock):
     owner = LimitOwner(clock)
     settle(owner, clock)
     limit = NodeLimit(SHARE)
@@ -121,8 +121,8 @@
     assert_that(full.source, Equals("findwell/claims"))
 
 
-def test_who_is_refused_for_concurrency_is_told_when_a_running_request_is_likely_to_end():
-    # Callers were told 0.1 s however long the running requests took, and came back ten times a
+def test_concurrency_refusal_names_the_expected_end_of_a_running_request():
+    # With a retry time of 0.1 s however long the running requests take, callers retried ten times a
     # second.
     limit = NodeLimit(SHARE, starts=2.0, concurrency=4, in_use=4, retry_after_s=0.0)
     limit.record_duration(6.0)
@@ -132,13 +132,13 @@
     assert_that(round(limit.refusal().retry_after_s, 2), Equals(2.0 / 4))
 
 
-def test_who_is_refused_for_the_rate_is_told_of_the_rate_alone():
+def test_retry_time_of_a_rate_refusal_depends_on_the_rate_alone():
     limit = NodeLimit(SHARE, starts=0.5, concurrency=4, in_use=4, retry_after_s=3.0)
     limit.record_duration(60.0)
     assert_that(limit.refusal().retry_after_s, Equals(3.0))
 
 
-def test_silent_node_loses_its_places(clock):
+def test_silent_node_loses_its_concurrency(clock):
     owner = LimitOwner(clock)
     settle(owner, clock)
     gone, other = NodeLimit(SHARE), NodeLimit(SHARE)
--- a/packages/springbridge/springbridge/classes/placement_test.py
+++ b/packages/springbridge/springbridge/classes/placement_test.py
@@ -21,7 +21,7 @@
     return sheet.load(EXAMPLE.read_text()).unwrap()
 
 
-def test_places_are_the_intersection(rows):
+def test_failure_domains_are_the_intersection(rows):
     rows["customer/swan"] = {**rows["customer/swan"], "places": "perth-a elsewhere"}
     table = build(1, rows).table
     claims, swan = table.classes["claim-answers"], table.customers["swan"]
@@ -31,7 +31,7 @@
     assert_that(names, Equals(["matching-1", "matching-4"]))
 
 
-def test_no_common_place_is_refused(rows):
+def test_no_common_failure_domain_is_refused(rows):
     rows["customer/swan"] = {**rows["customer/swan"], "places": "elsewhere"}
     table = build(1, rows).table
     result = allowed_failure_domains(table.classes["claim-answers"], table.customers["swan"])
--- a/packages/springbridge/springbridge/classes/slots/endpoint_choice_test.py
+++ b/packages/springbridge/springbridge/classes/slots/endpoint_choice_test.py
@@ -1,4 +1,4 @@
-"""Tests of endpoint_choice.py: which endpoint is asked first, and which others then."""
+"""Tests of endpoint_choice.py: which endpoint is tried first, and which others then."""
 
 import random
 
@@ -67,25 +67,25 @@
     assert_that(choose_first(one, used, rng).name, Equals(name))
 
 
-def test_without_a_preference_the_emptier_of_two_is_asked(attempt, make_slot_request, rng):
+def test_without_a_preference_the_less_used_of_two_is_chosen(attempt, make_slot_request, rng):
     used = UsedShares()
     note_full(used, make_slot_request, ["e0"], Tier.BULK)
     first = {choose_first(attempt(Tier.BULK, 2), used, rng).name for _ in range(20)}
     assert_that(first, Equals({"e1"}))
 
 
-def test_all_others_are_asked_while_they_are_few(attempt, rng):
+def test_all_others_are_chosen_while_they_are_few(attempt, rng):
     others = choose_others(attempt(Tier.BULK, ALL_WHILE_FEW), {"e0"}, 1, rng)
     assert_that(others, HasLength(ALL_WHILE_FEW - 1))
 
 
-def test_a_few_at_a_time_are_asked_of_many(attempt, rng):
+def test_a_few_at_a_time_are_chosen_of_many(attempt, rng):
     many = attempt(Tier.BULK, ALL_WHILE_FEW + 1)
     assert_that(choose_others(many, {"e0"}, 1, rng), HasLength(FAN_WHILE_MANY - 1))
     assert_that(choose_others(many, {"e0"}, FAN_WHILE_MANY, rng), HasLength(0))
 
 
-def test_all_are_asked_before_a_refusal(attempt, rng):
+def test_all_are_tried_before_a_refusal(attempt, rng):
     many = attempt(Tier.BULK, ALL_WHILE_FEW + 1)
     others = choose_others(many, {"e0"}, 0, rng)
     assert_that(others, HasLength(ALL_WHILE_FEW))
--- a/packages/springbridge/springbridge/classes/slots/fair_queue_test.py
+++ b/packages/springbridge/springbridge/classes/slots/fair_queue_test.py
@@ -26,7 +26,7 @@
 
 @PROPERTY
 @given(st.lists(st.tuples(st.sampled_from(list(Tier)), st.integers(0, 3)), max_size=60))
-def test_every_ask_comes_out_once(entries):
+def test_every_slot_request_is_served_once(entries):
     queue = FairQueue()
     for number, (tier, customer) in enumerate(entries):
         queue.push(slot_request(str(number), tier, str(customer)), 10.0, 0.0)
@@ -64,7 +64,7 @@
     assert_that(lower, GreaterThan(0))
 
 
-def test_discarded_ask_never_comes_out():
+def test_discarded_slot_request_is_never_served():
     queue = FairQueue()
     queue.push(slot_request("a", Tier.URGENT, "a"), 10.0, 0.0)
     queue.push(slot_request("b", Tier.URGENT, "a"), 10.0, 0.0)
--- a/packages/springbridge/springbridge/classes/slots/preemption_test.py
+++ b/packages/springbridge/springbridge/classes/slots/preemption_test.py
@@ -1,4 +1,4 @@
-"""Tests of preemption.py: which running request gives way."""
+"""Tests of preemption.py: which running work is preempted."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def run(make_slot_request):
-    """Return a function that makes work which holds a slot."""
+    """Return a function that makes running work, which holds a slot."""
 
     def make(name, tier, since_s=0.0, stopping=False, **fields):
         return Running(make_slot_request(name, tier, **fields), since_s, 10.0, stopping)
@@ -24,7 +24,7 @@
     return make
 
 
-def test_youngest_work_of_the_lowest_tier_gives_way(run):
+def test_newest_work_of_the_lowest_tier_is_preempted(run):
     running = [
         run("old", Tier.BULK, 1.0),
         run("young", Tier.BULK, 2.0),
@@ -36,17 +36,17 @@
 
 
 @pytest.mark.parametrize("tier", Tier)
-def test_nobody_gives_way_to_the_same_or_a_lower_tier(run, tier):
+def test_work_of_the_same_or_a_higher_tier_is_not_preempted(run, tier):
     running = [run("one", upper, preemptible=True) for upper in Tier if upper <= tier]
     assert_that(choose_victim(running, tier, 1.0), Is(None))
 
 
-def test_work_that_may_not_be_stopped_stays(run):
+def test_unpreemptible_work_is_not_preempted(run):
     running = [run("fixed", Tier.BULK, preemptible=False)]
     assert_that(choose_victim(running, Tier.URGENT, 1.0), Is(None))
 
 
-def test_one_slot_that_is_given_back_serves_one_ask(run):
+def test_one_slot_that_is_given_back_serves_one_request(run):
     running = [run("stopping", Tier.BULK, stopping=True), run("other", Tier.BULK)]
     assert_that(choose_victim(running, Tier.URGENT, 1.0), Is(None))
     assert_that(
@@ -58,7 +58,7 @@
     )
 
 
-def test_ask_preempts_early_at_its_first_endpoint_only(make_slot_request):
+def test_slot_request_preempts_early_at_its_first_endpoint_only(make_slot_request):
     wait_s = PREEMPT_TARGET_SHARE + 0.01
     assert_that(preempts_before_late(make_slot_request("first", target_s=1.0), wait_s), Is(True))
     assert_that(
--- a/packages/springbridge/springbridge/classes/slots/scheduler_test.py
+++ b/packages/springbridge/springbridge/classes/slots/scheduler_test.py
@@ -53,7 +53,7 @@
     assert_that(decisions, Equals([Grant("a", "node-1", "me", 1 / SLOTS)]))
 
 
-def test_repeated_ask_changes_nothing(scheduler, make_slot_request):
+def test_repeated_slot_request_changes_nothing(scheduler, make_slot_request):
     scheduler.request_slot(make_slot_request("a"))
     assert_that(of_type(scheduler.request_slot(make_slot_request("a")), Grant), Equals(["a"]))
     assert_that(scheduler.running, HasLength(1))
@@ -68,7 +68,7 @@
     assert_that(order, Equals([["urgent"], ["standard"], ["bulk"]]))
 
 
-def test_urgent_ask_preempts_the_lowest_tier(scheduler, make_slot_request, clock):
+def test_urgent_request_preempts_the_lowest_tier(scheduler, make_slot_request, clock):
     scheduler.request_slot(make_slot_request("standard", Tier.STANDARD))
     for number in range(SLOTS - 1):
         clock.advance(0.01)
@@ -85,13 +85,13 @@
     assert_that(of_type(decisions, Preemption), HasLength(0))
 
 
-def test_one_ask_preempts_at_its_first_engine_only(scheduler, make_slot_request):
+def test_slot_request_preempts_at_its_first_endpoint_only(scheduler, make_slot_request):
     fill(scheduler, make_slot_request, Tier.BULK)
     decisions = scheduler.request_slot(make_slot_request("urgent", fan=5, primary=False))
     assert_that(of_type(decisions, Preemption), HasLength(0))
 
 
-def test_late_ask_preempts_everywhere(scheduler, make_slot_request, clock):
+def test_late_slot_request_preempts_at_every_endpoint(scheduler, make_slot_request, clock):
     fill(scheduler, make_slot_request, Tier.BULK)
     scheduler.request_slot(make_slot_request("urgent", fan=5, primary=False))
     clock.advance(0.6)
@@ -105,7 +105,7 @@
     assert_that(decisions[0].retry_after_s, GreaterThan(0.0))
 
 
-def test_expired_ask_is_refused(scheduler, make_slot_request, clock):
+def test_expired_slot_request_is_refused(scheduler, make_slot_request, clock):
     fill(scheduler, make_slot_request, Tier.URGENT)
     assert_that(
         of_type(scheduler.request_slot(make_slot_request("waits")), Queued), Equals(["waits"])
@@ -114,7 +114,7 @@
     assert_that(of_type(scheduler.tick(), Refusal), Equals(["waits"]))
 
 
-def test_lower_tiers_make_way_before_the_top_tier_is_refused(scheduler, make_slot_request):
+def test_lower_tiers_are_cleared_before_the_top_tier_is_refused(scheduler, make_slot_request):
     fill(scheduler, make_slot_request, Tier.URGENT)
     scheduler.request_slot(make_slot_request("bulk", Tier.BULK, max_wait_s=1e6))
     scheduler.request_slot(make_slot_request("standard", Tier.STANDARD, max_wait_s=1e6))
@@ -154,7 +154,7 @@
     assert_that(served.count("matching"), GreaterThan(10))
 
 
-def test_fixed_lower_work_leaves_the_last_slot(scheduler, make_slot_request):
+def test_unpreemptible_lower_tier_work_leaves_the_last_slot(scheduler, make_slot_request):
     for number in range(SLOTS):
         scheduler.request_slot(make_slot_request(f"fixed-{number}", Tier.BULK, preemptible=False))
     assert_that(scheduler.running, HasLength(SLOTS - 1))
@@ -169,12 +169,12 @@
     assert_that(of_type(decisions, Grant), HasLength(0))
 
 
-def test_oversized_ask_runs_alone(scheduler, make_slot_request):
+def test_oversized_slot_request_runs_alone(scheduler, make_slot_request):
     decisions = scheduler.request_slot(make_slot_request("huge", prompt_tokens=500_000))
     assert_that(of_type(decisions, Grant), Equals(["huge"]))
 
 
-def test_failing_engine_is_suspended_and_probed_back(scheduler, make_slot_request, clock):
+def test_failing_endpoint_is_suspended_and_probed(scheduler, make_slot_request, clock):
     for name in ("a", "b"):
         scheduler.request_slot(make_slot_request(name))
         scheduler.release(release(name, Outcome.ENDPOINT_FAILED))
@@ -194,7 +194,7 @@
     assert_that(scheduler.limits.slots(clock(), {Tier.URGENT}), LessThan(SLOTS))
 
 
-def test_good_latency_at_a_full_engine_raises_the_limit(scheduler, make_slot_request, clock):
+def test_good_latency_at_a_full_endpoint_raises_the_limit(scheduler, make_slot_request, clock):
     fill(scheduler, make_slot_request, Tier.URGENT)
     for _ in range(20):
         scheduler.sample(Sample("URGENT-0", 0.1, 0.01, 30))
@@ -203,7 +203,7 @@
     assert_that(learnt, LessThan(SLOTS / MIN_UTILIZATION_TO_RAISE + 1))
 
 
-def test_engine_without_urgent_streams_fills_up_to_looser_targets(
+def test_endpoint_without_urgent_streams_fills_up_to_looser_targets(
     scheduler, make_slot_request, clock
 ):
     fill(scheduler, make_slot_request, Tier.BULK, between_s=0.5)
@@ -215,7 +215,7 @@
     assert_that(scheduler.limits.slots(clock(), {Tier.URGENT}), LessThan(SLOTS))
 
 
-def test_engine_too_slow_for_a_tier_serves_it_late_rather_than_never(
+def test_endpoint_too_slow_for_a_tier_serves_it_late_rather_than_never(
     scheduler, make_slot_request, clock
 ):
     scheduler.limits.tiers[Tier.URGENT].limit = 0.5
@@ -226,7 +226,7 @@
     assert_that(of_type(scheduler.tick(), Grant), Equals(["urgent"]))
 
 
-def test_gone_node_frees_its_slots(scheduler, make_slot_request):
+def test_dropped_node_frees_its_slots(scheduler, make_slot_request):
     fill(scheduler, make_slot_request, Tier.URGENT, node="node-2")
     scheduler.request_slot(make_slot_request("waits"))
     assert_that(of_type(scheduler.drop_node("node-2"), Grant), Equals(["waits"]))
@@ -244,7 +244,7 @@
 def test_random_run_keeps_the_invariants_and_serves_every_class(
     scheduler, make_slot_request, clock, seed
 ):
-    """Three times the capacity, all tiers, every outcome: nothing starves, nothing leaks."""
+    """Under three times the capacity, in all tiers, no class starves and no slot leaks."""
     rng = random.Random(seed)
     done = dict.fromkeys(Tier, 0)
     parked = []
--- a/packages/springbridge/springbridge/conftest.py
+++ b/packages/springbridge/springbridge/conftest.py
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def make_slot_request():
-    """Return a function that makes slot requests; what is not named is as in PLAIN_SLOT_REQUEST."""
+    """Return a function that makes slot requests; other fields are as in PLAIN_SLOT_REQUEST."""
 
     def make(slot_request_id: str, tier: Tier = Tier.URGENT, **fields) -> SlotRequest:
         fields.setdefault("preemptible", tier is not Tier.URGENT)
