--- a/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
@@ -76,7 +76,7 @@
     async def _run(self, admitted: Admitted) -> None:
         match read_chat(bytes(self.body)):
             case Failure(problem):
-                self.refuse(self.promised(problem))
+                self.refuse(self.refusal_for(problem))
             case Success(call):
                 await self._complete(admitted, call)
 
@@ -96,7 +96,7 @@
 
     async def _whole(self, admitted: Admitted, answer: Answer) -> None:
         """Write the answer in one piece."""
-        await answer.whole()
+        await answer.wait_ended()
         if answer.problem is not None:
             self.refuse(answer.problem)
             return
@@ -171,7 +171,7 @@
                 return
             case Success(answer):
                 pass
-        await answer.whole()
+        await answer.wait_ended()
         if answer.problem is not None:
             self.refuse(answer.problem)
         else:
--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -22,7 +22,7 @@
 from springbridge_node.class_router.callers.caller_handler import CallerHandler
 from springbridge_node.class_router.requests.class_admission import Admitted, admit
 from springbridge_node.class_router.requests.growing_answers import Answer
-from springbridge_node.class_router.requests.limit_gate import finishing
+from springbridge_node.class_router.requests.limit_gate import hold_until_done
 from springbridge_node.class_router.requests.work import Work
 
 # How long the rest of a refused body is read and thrown away before the connection is closed.
@@ -54,7 +54,7 @@
         )
         problem = self._problem_before_body()
         if problem is not None:
-            self._refuse_unread(self.promised(problem))
+            self._refuse_unread(self.refusal_for(problem))
 
     def _problem_before_body(self) -> Problem | None:
         """Return why the request is refused by its headers, or None."""
@@ -82,12 +82,12 @@
             return None
         return Problem(Code.WRONG_PLACE, source=failure_domain)
 
-    def promised(self, problem: Problem) -> Problem:
+    def refusal_for(self, problem: Problem) -> Problem:
         """Return the problem to answer with: "not run" only where this node can promise it."""
         if self.admitted is None:
             return problem
         owner = self.admitted.owner
-        return self.node.at_most_once.promised(self.admitted.request_id, owner, problem)
+        return self.node.at_most_once.refusal_for(self.admitted.request_id, owner, problem)
 
     def _wrong_kind(self, admitted: Admitted) -> Problem | None:
         """Return a problem where the path does not fit the class; subclasses know which do."""
@@ -114,7 +114,7 @@
     def _too_slow(self) -> None:
         """Refuse a sender that does not finish its body in time."""
         if not self.refused:
-            self._refuse_unread(self.promised(Problem(Code.SENDER_TOO_SLOW)))
+            self._refuse_unread(self.refusal_for(Problem(Code.SENDER_TOO_SLOW)))
 
     def data_received(self, chunk: bytes) -> None:
         """Take in a piece of the body."""
@@ -122,7 +122,7 @@
             return
         self.body += chunk
         if len(self.body) > self.node.settings.max_body_bytes:
-            self._refuse_unread(self.promised(Problem(Code.BODY_TOO_LARGE)))
+            self._refuse_unread(self.refusal_for(Problem(Code.BODY_TOO_LARGE)))
 
     def on_connection_close(self) -> None:
         """Stop work whose caller is gone, if it may be repeated."""
@@ -138,9 +138,9 @@
             return
         match await self.node.limits.start(self.admitted.share):
             case Failure(problem):
-                self.refuse(self.promised(problem))
+                self.refuse(self.refusal_for(problem))
             case Success(limit):
-                with finishing(limit, self.node.clock), self.node.in_flight():
+                with hold_until_done(limit, self.node.clock), self.node.in_flight():
                     await self._run(self.admitted)
 
     async def _run(self, admitted: Admitted) -> None:
--- a/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
+++ b/packages/springbridge-node/springbridge_node/class_router/housekeeping.py
@@ -73,7 +73,7 @@
         """Forget what other nodes own now and members that are long gone."""
         me = self.membership.me.incarnation
         self.membership.forget_old()
-        self.limits.tidy()
+        self.limits.drop_idle()
         self.hosts.keep_only(lambda endpoint: self.roles.scheduler_of(endpoint) == me)
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -84,7 +84,7 @@
 
     @_take.register
     def _(self, ask: LeaseAsk) -> None:
-        self._parts.limits.answer_ask(ask)
+        self._parts.limits.grant_lease(ask)
 
     @_take.register
     def _(self, lease: Lease) -> None:
--- a/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/at_most_once.py
@@ -1,8 +1,9 @@
-"""Requests under an id that the caller may send again: run here, relayed, or never run.
+"""Runs requests that are not repeatable at most once, also when callers retry them elsewhere.
 
-Only the home of a request runs it if it is not repeatable, and only the home promises that it was
-not run. See springbridge.classes.binding for the record and docs/design/at-most-once.md for the
-reasons. Owns the tasks of requests whose work goes on when their caller goes away.
+Each request id has a home, the one node that may run the request and that may promise that it was
+not run. Other nodes relay the home's answer. See springbridge.classes.binding for the record and
+docs/design/at-most-once.md for the reasons. Owns the tasks of requests that continue after their
+caller has disconnected.
 """
 
 import asyncio
@@ -16,7 +17,7 @@
 from springbridge.problems import Problem
 
 from springbridge_node.class_router.requests.growing_answers import Answer, KeptAnswers
-from springbridge_node.class_router.requests.home_lookup import UNKNOWN, HomeLookup
+from springbridge_node.class_router.requests.home_lookup import HOME_UNREACHABLE, HomeLookup
 from springbridge_node.class_router.requests.home_relay import HOME_LOST, follow_at_home
 from springbridge_node.class_router.requests.runner import Runner
 from springbridge_node.class_router.requests.work import Work
@@ -34,7 +35,7 @@
         lookup: HomeLookup,
         metadata: dict[str, str],
     ):
-        """Keep the ports.
+        """Store the dependencies.
 
         Args:
           metadata: Token and incarnation for calls to peers.
@@ -47,31 +48,31 @@
         self._metadata = metadata
         self.tasks: set[asyncio.Task] = set()
 
-    def promised(self, request_id: RequestId | None, owner: str, problem: Problem) -> Problem:
-        """Return the problem with which a request may be refused without being run here.
+    def refusal_for(self, request_id: RequestId | None, owner: str, problem: Problem) -> Problem:
+        """Return the problem to answer with when a request is refused without being run here.
 
-        Only the home of an id can promise that the request was not run, and it then keeps the
-        promise by refusing the id for ever. Any other node says that it does not know.
+        Only the home of an id can promise that the request was not run. It keeps that promise by
+        refusing every later request under the id. Any other node answers OUTCOME_UNKNOWN.
         """
         if request_id is None or not problem.not_run:
             return problem
         at_home = request_id.home == self._membership.me.incarnation
         if at_home and self._bindings.refuse(request_id, owner):
             return problem
-        return unknown_because(problem)
+        return as_outcome_unknown(problem)
 
     def serve(self, work: Work, request_id: RequestId, owner: str) -> Result[Answer, Problem]:
-        """Return the one answer of a request; its work goes on when the caller goes away."""
+        """Return the request's answer, which retries share; it continues without its caller."""
         match self._bindings.admit(request_id, owner):
             case Failure(problem):
                 return Failure(problem)
             case Success(record):
-                return self._answer(record, work, request_id, owner)
+                return self._answer_for(record, work, request_id, owner)
 
-    def _answer(
+    def _answer_for(
         self, record: Record, work: Work, request_id: RequestId, owner: str
     ) -> Result[Answer, Problem]:
-        """Return the answer of a record, and start its work if nobody has yet."""
+        """Return the answer of a record, and start its work if that has not been done yet."""
         kept = self._answers.find(request_id.text)
         if kept is not None and record.stage is not Stage.REFUSED:
             return Success(kept)
@@ -82,12 +83,12 @@
         record.fresh = False
         answer = Answer(request_id.text)
         self._answers.keep(answer)
-        task = asyncio.create_task(self._work(record, work, request_id, owner, answer))
+        task = asyncio.create_task(self._find_home_and_run(record, work, request_id, owner, answer))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return Success(answer)
 
-    async def _work(
+    async def _find_home_and_run(
         self, record: Record, work: Work, request_id: RequestId, owner: str, answer: Answer
     ) -> None:
         """Find the request's home, then run it here or relay its answer."""
@@ -102,7 +103,7 @@
                 case Failure(failure):
                     problem = failure
                     if failure.code is Code.OUTCOME_UNKNOWN:
-                        problem = await self._ask_endpoints(work, answer)
+                        problem = await self._resume_at_endpoints(work, answer)
         finally:
             if not answer.ended:
                 self._bindings.finish(request_id.text, problem)
@@ -111,45 +112,48 @@
     async def run_repeatable(
         self, work: Work, request_id: RequestId, owner: str, answer: Answer
     ) -> None:
-        """Run a repeatable request whose caller named it; the id is for its promises only."""
+        """Run a repeatable request that came with an id.
+
+        The id only decides whether a failure may say that the request was not run.
+        """
         if request_id.home != self._membership.me.incarnation:
-            await self._runner.run(work, answer, unknown_because)
+            await self._runner.run(work, answer, as_outcome_unknown)
             return
         match self._bindings.open_repeatable(request_id, owner):
             case Failure(problem):
                 answer.end(problem)
                 return
 
-        def settled(problem: Problem | None) -> Problem | None:
-            stands = self._bindings.close_repeatable(request_id.text, problem)
-            return problem if stands else unknown_because(problem)
+        def settle(problem: Problem | None) -> Problem | None:
+            promise_holds = self._bindings.close_repeatable(request_id.text, problem)
+            return problem if promise_holds else as_outcome_unknown(problem)
 
-        await self._runner.run(work, answer, settled)
+        await self._runner.run(work, answer, settle)
 
     async def _relay(self, home: str, work: Work, answer: Answer) -> Problem | None:
-        """Relay the answer from its home, and ask the endpoints if the home breaks off."""
+        """Relay the answer from its home; if the home is lost, try to resume at the endpoints."""
         member = self._membership.find(home)
         if member is not None:
             try:
                 return await follow_at_home(member.peer_address, home, answer, self._metadata)
             except HOME_LOST:
-                # The home is gone or cut off. The endpoints may still have the answer; what they
-                # say ends the request, and its code is logged.
+                # The home is gone or unreachable. An endpoint may still have the answer; the
+                # request ends with what is found there, and its code is logged.
                 pass
-        return await self._ask_endpoints(work, answer)
+        return await self._resume_at_endpoints(work, answer)
 
-    async def _ask_endpoints(self, work: Work, answer: Answer) -> Problem | None:
-        """Look for the request's stream at the endpoints it may be on; never run it."""
+    async def _resume_at_endpoints(self, work: Work, answer: Answer) -> Problem | None:
+        """Resume the request's stream by its id at whichever endpoint has it; never start it."""
         for endpoint in work.endpoints():
             if endpoint.kind is not EndpointKind.MODEL:
                 continue
             if await self._runner.resume(endpoint, work.request, answer):
                 return None
-        return UNKNOWN
+        return HOME_UNREACHABLE
 
 
-def unknown_because(problem: Problem | None) -> Problem | None:
-    """Turn "not run" into "unknown": only the home of an id knows that nothing ran under it."""
+def as_outcome_unknown(problem: Problem | None) -> Problem | None:
+    """Turn NOT_RUN into OUTCOME_UNKNOWN: only the home of an id knows that nothing ran under it."""
     if problem is None or not problem.not_run:
         return problem
     detail = f"refused here ({problem.code.name}), and it may have run under this id"
--- a/packages/springbridge-node/springbridge_node/class_router/requests/class_admission.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/class_admission.py
@@ -1,7 +1,7 @@
-"""Admission by class: what a node checks of a request's headers before it reads the body.
+"""Admission by class: checks a request's headers before its body is read.
 
-Callers name a class here, and the table says which customers have a share of it. The gateway admits
-by host and path (springbridge.routing.admission), so the two have no rule in common.
+Callers name a class in a header, and the operators' table says which customers have a share of it.
+The gateway admits by host and path (springbridge.routing.admission), so they share no rule.
 """
 
 import hashlib
@@ -21,13 +21,13 @@
 REPEATABLE_HEADER = "Springbridge-Repeatable"
 AFFINITY_HEADER = "Springbridge-Affinity"
 BEARER = "Bearer "
-# Most digits of a wait in milliseconds (11 days), so that int() is never given a huge number.
+# Maximum digits of a wait in milliseconds (11 days), so that int() never parses a huge number.
 WAIT_DIGITS = 9
 
 
 @dataclass(frozen=True)
 class Permit:
-    """What a customer may use: a class, its share of it, and where its data may be handled."""
+    """A customer's right to use a class: its share, and the failure domains for its data."""
 
     customer: Customer
     request_class: RequestClass
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True)
 class Admitted(Permit):
-    """A request that may be read, with what its headers ask for.
+    """A request whose headers were accepted, with the options that they set.
 
     Attributes:
       request_id: The caller's id, or None if it sent none.
-      max_wait_s: Longest wait, the class's or a shorter one that the caller asked for.
+      max_wait_s: Longest wait for a slot: the class's, or a shorter one set by the caller.
     """
 
     request_id: RequestId | None
@@ -51,35 +51,35 @@
 
     @property
     def owner(self) -> str:
-        """Return customer and class, which a retry has to share."""
+        """Return customer and class; a retry must come with the same ones."""
         return f"{self.customer.name}/{self.request_class.name}"
 
 
 def admit(table: Table, headers: Mapping[str, str]) -> Result[Admitted, Problem]:
-    """Decide whether a request's body is worth reading.
+    """Decide by its headers whether a request's body is read.
 
     Inputs: the table in force and the request's headers.
-    Outcome: whose request it is and what it asks for, or the first reason to refuse it: its key,
-    its class, no failure domain in common, a malformed header.
+    Outcome: customer, class and options, or the first reason to refuse the request: its key, its
+    class, no failure domain in common, a malformed header.
     Why: a refusal before the body costs the caller no upload and the node no memory. Whether this
-    node stands in one of the failure domains is left to the handler, which names other nodes.
+    node is in one of the failure domains is checked by the handler, which names other nodes.
     """
     permit = permit_of(table, headers, headers.get(CLASS_HEADER, ""))
     return permit.bind(lambda found: _with_options(found, headers))
 
 
 def permit_of(table: Table, headers: Mapping[str, str], class_name: str) -> Result[Permit, Problem]:
-    """Return what the customer whose key the headers carry may use of a class."""
+    """Return the permit for a class of the customer whose key is in the headers."""
     return _identify(table, headers).bind(lambda found: _permit(table, found, class_name))
 
 
 def key_hash(key: str) -> str:
-    """Return the digest of a key as the table keeps it."""
+    """Return the SHA-256 digest of a key in hex, as stored in the table."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def _identify(table: Table, headers: Mapping[str, str]) -> Result[Customer, Problem]:
-    """Return the customer whose key a request carries."""
+    """Return the customer whose key is in the headers."""
     given = headers.get("Authorization", "")
     name = table.keys.get(key_hash(given.removeprefix(BEARER))) if given else None
     if name is None:
@@ -88,7 +88,6 @@
 
 
 def _permit(table: Table, customer: Customer, class_name: str) -> Result[Permit, Problem]:
-    """Return what a customer may use of a class."""
     request_class = table.classes.get(class_name)
     if request_class is None:
         return Failure(Problem(Code.UNKNOWN_CLASS, source=CLASS_HEADER))
@@ -100,7 +99,7 @@
 
 
 def _with_options(permit: Permit, headers: Mapping[str, str]) -> Result[Admitted, Problem]:
-    """Add the headers that a caller may leave out; the first malformed one is reported."""
+    """Add the values of the optional headers; the first malformed one is reported."""
     request_class = permit.request_class
     return Result.do(
         Admitted(
--- a/packages/springbridge-node/springbridge_node/class_router/requests/growing_answers.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/growing_answers.py
@@ -1,6 +1,6 @@
-"""Answers as they grow: one writer, any number of readers, each from its own offset.
+"""Buffers of answers in progress: one writer, any number of readers, each from its own offset.
 
-Owns the answers that are kept for retries. They live in memory only and end with the process.
+Owns the answers that are kept for retries. They are held in memory only and lost with the process.
 """
 
 import asyncio
@@ -13,10 +13,10 @@
 
 # How long an answer is kept for a retry of its caller, counted from its start. Later retries get
 # ANSWER_NOT_KEPT, as the binding's record lives for 600 s.
-KEEP_ANSWERS_S = 120.0
-# Characters of all kept answers; beyond them the oldest ended ones go early. Bounds memory: 4 MB of
-# English text.
-KEEP_ANSWERS_CHARS = 4_000_000
+ANSWER_RETENTION_S = 120.0
+# Characters of all kept answers; beyond this the oldest ended ones are dropped early. Bounds
+# memory: 4 MB of English text.
+MAX_KEPT_CHARS = 4_000_000
 
 
 @dataclass
@@ -24,12 +24,12 @@
     """The chunks of one answer so far, and how it ended.
 
     Attributes:
-      offset: Tokens so far.
-      problem: Why the answer is not whole, once it has ended; None if it is.
+      offset: Number of tokens so far.
+      problem: Why the answer is incomplete, once it has ended; None if it is complete.
     """
 
     request_id: str
-    pieces: list[Chunk] = field(default_factory=list)
+    chunks: list[Chunk] = field(default_factory=list)
     offset: int = 0
     ended: bool = False
     problem: Problem | None = None
@@ -37,12 +37,12 @@
 
     def add(self, chunk: Chunk) -> None:
         """Append the next chunk."""
-        self.pieces.append(chunk)
+        self.chunks.append(chunk)
         self.offset += chunk.tokens
         self._wake()
 
     def end(self, problem: Problem | None) -> None:
-        """End the answer, with a problem or whole."""
+        """End the answer, incomplete with a problem or complete with None."""
         if not self.ended:
             self.ended = True
             self.problem = problem
@@ -50,14 +50,14 @@
 
     def text(self) -> str:
         """Return the text so far."""
-        return "".join(chunk.text for chunk in self.pieces)
+        return "".join(chunk.text for chunk in self.chunks)
 
     async def follow(self, offset: int = 0) -> AsyncIterator[Chunk]:
         """Yield the chunks from an offset in tokens on, until the answer has ended."""
         position = 0
         while True:
-            while position < len(self.pieces):
-                chunk = self.pieces[position]
+            while position < len(self.chunks):
+                chunk = self.chunks[position]
                 position += 1
                 if chunk.offset >= offset:
                     yield chunk
@@ -65,7 +65,7 @@
                 return
             await self._changed.wait()
 
-    async def whole(self) -> None:
+    async def wait_ended(self) -> None:
         """Return when the answer has ended."""
         while not self.ended:
             await self._changed.wait()
@@ -95,11 +95,11 @@
         return found[0] if found is not None else None
 
     def _forget_old(self) -> None:
-        """Drop ended answers that are old or beyond the size kept, oldest first."""
-        limit_s = self._clock() - KEEP_ANSWERS_S
-        chars = sum(len(piece.text) for one, _ in self._answers.values() for piece in one.pieces)
+        """Drop ended answers past their retention or beyond the size limit, oldest first."""
+        limit_s = self._clock() - ANSWER_RETENTION_S
+        chars = sum(len(part.text) for kept, _ in self._answers.values() for part in kept.chunks)
         for name, (answer, since_s) in list(self._answers.items()):
-            if since_s > limit_s and chars <= KEEP_ANSWERS_CHARS:
+            if since_s > limit_s and chars <= MAX_KEPT_CHARS:
                 return
             if answer.ended:
                 chars -= len(answer.text())
--- a/packages/springbridge-node/springbridge_node/class_router/requests/home_relay.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/home_relay.py
@@ -1,4 +1,4 @@
-"""Relays the answer of a request from its home: the caller's retry reached another node."""
+"""Relays the answer of a request from its home, for a retry that reached another node."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 from springbridge_node.class_router.peers.proto.peer_grpc import PeerStub
 from springbridge_node.class_router.requests.growing_answers import Answer
 
-# Longest silence of a home whose answer is relayed. A call to a plain service may be silent for
-# longer; the retry that is relayed then ends with OUTCOME_UNKNOWN and may ask again.
+# Timeout for the next chunk from a home whose answer is relayed. A call to a plain service may take
+# longer to answer; the relayed retry then ends with OUTCOME_UNKNOWN and may be repeated.
 RELAY_STALL_S = 10.0
 
-# How a home that is gone, cut off or silent shows while its answer is followed.
+# Errors of a relay whose home is gone, unreachable or silent.
 HOME_LOST = (OSError, TimeoutError, GRPCError, StreamTerminatedError, ConnectionError)
 
 
@@ -32,10 +32,10 @@
       metadata: Token and incarnation for calls to peers.
 
     Returns:
-      The problem with which the answer ended, or None if it is whole.
+      The problem with which the answer ended, or None if it is complete.
 
     Raises:
-      One of HOME_LOST: the home broke off, or was silent for RELAY_STALL_S.
+      One of HOME_LOST: the home closed the stream, or sent nothing for RELAY_STALL_S.
     """
     check = StreamCheck(answer.request_id, answer.offset)
     request = peer_pb2.AttachRequest(home=home, request_id=answer.request_id, offset=answer.offset)
@@ -47,11 +47,11 @@
                 async with asyncio.timeout(RELAY_STALL_S):
                     part = await stream.recv_message()
                 if part is None:
-                    raise ConnectionError("the home broke off")
+                    raise ConnectionError("the home closed the stream before its last chunk")
                 if part.last:
                     return _end(part)
-                piece = Chunk(answer.request_id, part.offset, part.tokens, part.text, False)
-                match check.accept(piece):
+                received = Chunk(answer.request_id, part.offset, part.tokens, part.text, False)
+                match check.accept(received):
                     case Success(Chunk() as fresh):
                         answer.add(fresh)
                     case Failure(problem):
@@ -59,6 +59,6 @@
 
 
 def _end(part: peer_pb2.AttachChunk) -> Problem | None:
-    """Return how a relayed answer ended."""
+    """Return the problem in the last chunk of a relayed answer, None for OK."""
     code = Code(part.code)
     return None if code is Code.OK else Problem(code, part.detail)
--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -1,7 +1,7 @@
-"""Admission by rate and concurrency: leases that this node has from the limits' owners.
+"""Admission by rate and concurrency, under leases that the owners of the limits grant to this node.
 
-Also answers other nodes for the limits that this node owns. The arithmetic of leases and shares is
-the library's (springbridge.classes.limits); this module waits, sends and remembers.
+Also grants leases to other nodes for the limits that this node owns. The arithmetic of leases and
+shares is in springbridge.classes.limits; this module does the waiting, the messages and the state.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 
 from springbridge_node.class_router.peers.messages import Message
 
-# Longest wait for a lease; then the node admits its equal part of the limit. Callers wait this long
-# for the first token when an owner is lost. Far above one exchange with a peer.
-OWNER_PATIENCE_S = 0.25
-# How long a limit that nobody uses is remembered after its last lease. Bounds memory only.
-IDLE_KEEP_S = 60.0
+# Timeout for a lease; then the node admits its equal part of the limit. Callers wait this much
+# longer for the first token when an owner is lost. Far above one round trip to a peer.
+LEASE_TIMEOUT_S = 0.25
+# How long an unused limit is kept after its last lease. Bounds memory only.
+IDLE_LIMIT_RETENTION_S = 60.0
 
-# Customer and class, which name a limit as they name a share in the table.
+# Customer and class; they identify a limit, as they identify a share in the table.
 Key = tuple[str, str]
 
 
 class LimitGate:
-    """All limits: those that apply to requests at this node, and those that this node owns."""
+    """Admits requests under their limits, and grants leases for the limits that this node owns."""
 
     def __init__(
         self,
@@ -37,21 +37,21 @@
         table: Callable[[], Table],
         send: Callable[[str, Message], None],
     ):
-        """Start with no lease, neither taken nor given."""
+        """Start without leases, held or granted."""
         self._membership = membership
         self._clock = clock
         self._table = table
         self._send = send
         self._owner = LimitOwner(clock)
         self._limits: dict[Key, NodeLimit] = {}
-        self._answers: dict[Key, asyncio.Future[None]] = {}
+        self._pending_leases: dict[Key, asyncio.Future[None]] = {}
 
     async def start(self, share: Share) -> Result[NodeLimit, Problem]:
         """Admit one request of a customer and class, waiting for a lease if there is none.
 
         Returns:
-          The limit, which the caller has to finish(), see finishing(); or RATE_LIMITED or
-          CONCURRENCY_LIMITED with a time to come back.
+          The limit, on which the caller has to call finish(), see hold_until_done(); or
+          RATE_LIMITED or CONCURRENCY_LIMITED with a time to retry after.
         """
         key = (share.customer, share.request_class)
         limit = self._limits.setdefault(key, NodeLimit(share))
@@ -59,9 +59,9 @@
         limit.want()
         if limit.try_start(self._clock()):
             return Success(limit)
-        asked = False
-        while not asked:
-            asked = await self._renew(key, limit)
+        requested = False
+        while not requested:
+            requested = await self._renew(key, limit)
             if limit.try_start(self._clock()):
                 return Success(limit)
         return Failure(limit.refusal())
@@ -70,64 +70,64 @@
         """Wait for a lease, or fall back to the equal part if the owner does not answer.
 
         Returns:
-          Whether the lease was asked for by this request. If not, it was sized before this request
-          came, and the request has to ask for another.
+          Whether this request requested the lease. If not, the lease was sized before this request
+          arrived, and the request has to request another.
         """
-        answer = self._answers.get(key)
-        asks = answer is None
-        if answer is None:
-            answer = self._answers[key] = asyncio.get_running_loop().create_future()
-            self._ask_owner(key, limit)
+        pending = self._pending_leases.get(key)
+        requests_lease = pending is None
+        if pending is None:
+            pending = self._pending_leases[key] = asyncio.get_running_loop().create_future()
+            self._request_lease(key, limit)
         try:
-            async with asyncio.timeout(OWNER_PATIENCE_S):
-                await asyncio.shield(answer)
+            async with asyncio.timeout(LEASE_TIMEOUT_S):
+                await asyncio.shield(pending)
         except TimeoutError:
             # Without the owner the sum over all nodes is less exact, but requests are admitted.
-            limit.fall_back(self._clock(), self._nodes())
-            self._answered(key)
-        return asks
+            limit.fall_back(self._clock(), self._node_count())
+            self._wake_waiting(key)
+        return requests_lease
 
-    def _answered(self, key: Key) -> None:
+    def _wake_waiting(self, key: Key) -> None:
         """Wake the requests that wait for a lease."""
-        answer = self._answers.pop(key, None)
-        if answer is not None and not answer.done():
-            answer.set_result(None)
+        pending = self._pending_leases.pop(key, None)
+        if pending is not None and not pending.done():
+            pending.set_result(None)
 
-    def _ask_owner(self, key: Key, limit: NodeLimit) -> None:
+    def _request_lease(self, key: Key, limit: NodeLimit) -> None:
         limit_owner = self._owner_of(*key)
         if limit_owner is None:
-            limit.fall_back(self._clock(), self._nodes())
-            self._answered(key)
+            limit.fall_back(self._clock(), self._node_count())
+            self._wake_waiting(key)
             return
         self._send(limit_owner, limit.ask(self._membership.me.incarnation))
 
-    def answer_ask(self, ask: LeaseAsk) -> None:
-        """Answer a node's ask as the owner of the limit."""
+    def grant_lease(self, ask: LeaseAsk) -> None:
+        """Answer a node's lease request as the owner of the limit."""
         share = self._table().shares.get((ask.customer, ask.request_class))
         if share is not None:
-            self._send(ask.node, self._owner.lease(ask, share, self._nodes()))
+            self._send(ask.node, self._owner.lease(ask, share, self._node_count()))
 
     def take_lease(self, lease: Lease) -> None:
-        """Take in the owner's answer."""
+        """Apply a lease that the owner granted, and wake the requests that wait for it."""
         key = (lease.customer, lease.request_class)
         limit = self._limits.get(key)
         if limit is not None:
-            limit.take(lease, self._clock(), self._nodes())
-        self._answered(key)
+            limit.take(lease, self._clock(), self._node_count())
+        self._wake_waiting(key)
 
     def renew_in_use(self) -> None:
-        """Renew the leases of all limits in use; their owners count running requests by them."""
+        """Renew the leases of all limits in use; their owners count running requests from these."""
         me = self._membership.me.incarnation
         for key, limit in self._limits.items():
             limit_owner = self._owner_of(*key)
             if limit.in_use and limit_owner is not None:
                 self._send(limit_owner, limit.ask(me))
 
-    def tidy(self) -> None:
-        """Forget limits that other nodes own now and leases that are long over."""
+    def drop_idle(self) -> None:
+        """Drop limits that other nodes own now, and those unused for IDLE_LIMIT_RETENTION_S."""
         me = self._membership.me.incarnation
         self._owner.keep_only(lambda *key: self._owner_of(*key) == me)
-        limit_s = self._clock() - IDLE_KEEP_S
+        limit_s = self._clock() - IDLE_LIMIT_RETENTION_S
         self._limits = {
             key: limit
             for key, limit in self._limits.items()
@@ -138,13 +138,13 @@
         key = f"limit/{customer}/{request_class}"
         return owner(key, self._membership.incarnations())
 
-    def _nodes(self) -> int:
+    def _node_count(self) -> int:
         return max(1, len(self._membership.live()))
 
 
 @contextmanager
-def finishing(limit: NodeLimit, clock: Callable[[], float]) -> Iterator[None]:
-    """Give the request's place under the limit back at the end, and note how long it ran.
+def hold_until_done(limit: NodeLimit, clock: Callable[[], float]) -> Iterator[None]:
+    """Count a request as running under the limit until the end, then record how long it ran.
 
     Args:
       clock: Monotonic time in seconds.
--- a/packages/springbridge-node/springbridge_node/class_router/requests/progress.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/progress.py
@@ -1,4 +1,4 @@
-"""What a node sees of one attempt's stream: latencies for the scheduler, and stalls."""
+"""Progress of one attempt's stream: latencies for the scheduler, and detection of stalls."""
 
 from dataclasses import dataclass
 
@@ -6,15 +6,16 @@
 from springbridge.classes.entities import Endpoint, EndpointKind, Request
 from springbridge.classes.stream import Chunk
 
-# Silence that counts as a stall, in latency targets between tokens: 2 s at a target of 65 ms.
-STALL_TARGETS = 30
-# Shortest silence that counts as a stall, so that a short pause of an endpoint with tight targets
-# does not end its streams.
-SHORTEST_STALL_S = 2.0
-# The same in latency targets for the first token.
-FIRST_TOKEN_TARGETS = 2
-# Silence that counts as a stall at a plain service. It sends nothing before its whole answer, so
-# this is the longest wait for one.
+# Time without a chunk that counts as a stall, as a multiple of the class's latency target between
+# tokens: 2 s at a target of 65 ms.
+STALL_TOKEN_TARGETS = 30
+# Lower bound on that time, so that a short pause of an endpoint with tight targets does not end its
+# streams.
+MIN_STALL_S = 2.0
+# The same as a multiple of the latency target for the first token.
+STALL_FIRST_TOKEN_TARGETS = 2
+# The same for a plain service. It sends nothing before its complete answer, so this is the longest
+# wait for one.
 SERVICE_STALL_S = 60.0
 
 
@@ -23,9 +24,9 @@
     """The stream of one attempt so far; times are on the node's monotonic clock.
 
     Attributes:
-      first_s: Arrival of the first chunk, which brought first_tokens.
+      first_s: Arrival of the first chunk, which had first_tokens tokens.
       last_s: Arrival of the newest chunk, 0 before the first.
-      sampled_s: Up to when latencies were reported, with sampled_tokens.
+      sampled_s: Arrival of the last chunk in the samples so far, which hold sampled_tokens tokens.
     """
 
     started_s: float
@@ -62,10 +63,10 @@
         return Sample(ask_id, first_token_s, between_s, self.tokens)
 
 
-def stall_s_of(request: Request, endpoint: Endpoint) -> float:
+def stall_timeout_s(request: Request, endpoint: Endpoint) -> float:
     """Return the silence in seconds after which an attempt counts as stalled."""
     if endpoint.kind is EndpointKind.SERVICE:
         return SERVICE_STALL_S
     between_s = request.request_class.between_tokens_ms / 1000
     first_s = request.request_class.first_token_ms / 1000
-    return max(SHORTEST_STALL_S, STALL_TARGETS * between_s, FIRST_TOKEN_TARGETS * first_s)
+    return max(MIN_STALL_S, STALL_TOKEN_TARGETS * between_s, STALL_FIRST_TOKEN_TARGETS * first_s)
--- a/packages/springbridge-node/springbridge_node/class_router/requests/progress_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/progress_test.py
@@ -6,12 +6,12 @@
 from testtools.matchers import Equals
 
 from springbridge_node.class_router.requests.progress import (
-    FIRST_TOKEN_TARGETS,
+    MIN_STALL_S,
     SERVICE_STALL_S,
-    SHORTEST_STALL_S,
-    STALL_TARGETS,
+    STALL_FIRST_TOKEN_TARGETS,
+    STALL_TOKEN_TARGETS,
     Progress,
-    stall_s_of,
+    stall_timeout_s,
 )
 
 
@@ -53,8 +53,10 @@
 
 def test_stall_follows_the_targets_above_a_shortest_silence():
     model = endpoint_of(EndpointKind.MODEL)
-    assert_that(stall_s_of(request_of(100, 10), model), Equals(SHORTEST_STALL_S))
-    assert_that(stall_s_of(request_of(100, 500), model), Equals(STALL_TARGETS * 0.5))
-    assert_that(stall_s_of(request_of(4000, 10), model), Equals(FIRST_TOKEN_TARGETS * 4.0))
+    assert_that(stall_timeout_s(request_of(100, 10), model), Equals(MIN_STALL_S))
+    assert_that(stall_timeout_s(request_of(100, 500), model), Equals(STALL_TOKEN_TARGETS * 0.5))
+    assert_that(
+        stall_timeout_s(request_of(4000, 10), model), Equals(STALL_FIRST_TOKEN_TARGETS * 4.0)
+    )
     service = endpoint_of(EndpointKind.SERVICE)
-    assert_that(stall_s_of(request_of(100, 10), service), Equals(SERVICE_STALL_S))
+    assert_that(stall_timeout_s(request_of(100, 10), service), Equals(SERVICE_STALL_S))
--- a/packages/springbridge-node/springbridge_node/class_router/requests/resumption.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/resumption.py
@@ -1,7 +1,7 @@
-"""Reads an endpoint's stream into an answer, and follows a job again by its id.
+"""Reads an endpoint's stream into an answer, and resumes a broken stream by its job id.
 
-Following never starts a job: an endpoint that does not know the id says so. Each chunk is checked
-for the request's id and for gaps before it reaches the answer.
+Resuming never starts a job: an endpoint that does not know the id refuses. Each chunk is checked
+for the request's id and for gaps before it is added to the answer.
 """
 
 import asyncio
@@ -13,14 +13,14 @@
 from springbridge.classes.stream import Chunk, StreamCheck
 
 from springbridge_node.class_router.requests.growing_answers import Answer
-from springbridge_node.class_router.requests.progress import Progress, stall_s_of
+from springbridge_node.class_router.requests.progress import Progress, stall_timeout_s
 
-# Interval of looking for a stall, an eighth of the shortest silence that counts as one.
-WATCH_INTERVAL_S = 0.25
-# Tries to resume a stream by its id at the endpoint that has it: with the pause, an endpoint that
-# refuses connections for 2 s does not cost the request.
-RESUME_TRIES = 8
-# Pause between two of these tries.
+# Interval of the stall check, an eighth of MIN_STALL_S.
+STALL_CHECK_INTERVAL_S = 0.25
+# Attempts to resume a stream by its id at the endpoint that has it. With the pause between them the
+# request survives an endpoint that refuses connections for 2 s.
+MAX_RESUME_ATTEMPTS = 8
+# Pause between two of these attempts.
 RESUME_PAUSE_S = 0.25
 
 Clock = Callable[[], float]
@@ -33,7 +33,7 @@
     progress: Progress,
     clock: Clock,
 ) -> None:
-    """Append an endpoint's chunks to the answer until it is whole.
+    """Append an endpoint's chunks to the answer until it is complete.
 
     Raises:
       NotAdmittedError: The endpoint does not have the job.
@@ -55,34 +55,34 @@
 async def resume(
     client: EndpointClient, endpoint: Endpoint, request: Request, answer: Answer, clock: Clock
 ) -> bool:
-    """Follow a job that an endpoint has by id; return whether the answer became whole."""
-    stall_s = stall_s_of(request, endpoint)
-    for _ in range(RESUME_TRIES):
+    """Resume a job by its id at an endpoint; return whether the answer was completed."""
+    stall_s = stall_timeout_s(request, endpoint)
+    for _ in range(MAX_RESUME_ATTEMPTS):
         progress = Progress(clock())
         chunks = client.resume(endpoint, request.request_id, answer.offset)
         reading = read_into(answer, chunks, request.request_id, progress, clock)
         try:
-            await _unless_stalled(reading, progress, stall_s, clock)
+            await _read_unless_stalled(reading, progress, stall_s, clock)
             return True
         except NotAdmittedError:
             return False
         except (EndpointError, TimeoutError):
-            # Tried again; after the last try the request's final code is logged.
+            # Tried again; after the last attempt the request's final code is logged.
             await asyncio.sleep(RESUME_PAUSE_S)
     return False
 
 
-async def _unless_stalled(
+async def _read_unless_stalled(
     reading: Coroutine[None, None, None], progress: Progress, stall_s: float, clock: Clock
 ) -> None:
-    """Await a reading.
+    """Await the reading of a stream.
 
     Raises:
-      TimeoutError: It brought nothing for stall_s and was stopped.
+      TimeoutError: No chunk arrived for stall_s, and the reading was cancelled.
     """
     task = asyncio.ensure_future(reading)
     while True:
-        done, _ = await asyncio.wait([task], timeout=WATCH_INTERVAL_S)
+        done, _ = await asyncio.wait([task], timeout=STALL_CHECK_INTERVAL_S)
         if done:
             task.result()
             return
--- a/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/runner.py
@@ -1,7 +1,7 @@
-"""Runs a request to its end: waits for slots, makes attempts, retries and gives up.
+"""Runs a request to its end: acquires slots, makes attempts, retries or fails.
 
-Work that may be repeated goes on at another endpoint from the offset that it reached. Work that may
-not be repeated is sent once; when its stream breaks, only the endpoint that has it is asked, by id.
+Repeatable work continues at another endpoint from the offset that it reached. Work that is not
+repeatable is sent once; when its stream breaks, it is only resumed by id at the same endpoint.
 """
 
 import asyncio
@@ -17,20 +17,26 @@
 from springbridge_node.class_router.requests.growing_answers import Answer
 from springbridge_node.class_router.requests.resumption import resume
 from springbridge_node.class_router.requests.slot_attempt import AttemptPorts, SlotAttempt
-from springbridge_node.class_router.requests.work import End, Work, after_start, next_step
+from springbridge_node.class_router.requests.work import (
+    AttemptEnd,
+    Work,
+    adjust_if_started,
+    record_failed_attempt,
+)
 
-# Shortest time for which work that has started stays away from all queues after a refusal.
-PARK_S = 0.25
+# Minimum pause before work that has started is queued again after a scheduler refused it.
+MIN_REQUEUE_DELAY_S = 0.25
 
 
 class Runner:
     """Runs requests against endpoints through a slot source."""
 
     def __init__(self, ports: AttemptPorts):
-        """Keep the ports and start with a fresh retry budget.
+        """Store the dependencies and start with a fresh retry budget.
 
-        The budget is this node's own, a share of its fresh requests. The gateway's stands in the
-        library's routing rules, since its platform bounds the retries of all nodes together.
+        The budget belongs to this node and is a fraction of its first attempts. The gateway's is
+        part of the library's routing rules, since its platform limits the retries of all nodes
+        together.
         """
         self._ports = ports
         self._clock = ports.clock
@@ -42,55 +48,55 @@
         answer: Answer,
         settle: Callable[[Problem | None], Problem | None] = lambda problem: problem,
     ) -> None:
-        """Run a request into its answer; the answer always ends.
+        """Run a request and write its answer; the answer always ends.
 
         Args:
-          settle: Returns what the caller may be told of the problem with which the request ended.
+          settle: Returns the problem to report to the caller, given the one that ended the request.
         """
         self._budget.fresh()
         problem: Problem | None = Problem(Code.INTERNAL)
         try:
-            problem = await self._attempts(work, answer)
+            problem = await self._run_attempts(work, answer)
         finally:
             if not work.request.repeatable:
                 self._ports.bindings.finish(work.request.request_id, problem)
             answer.end(settle(problem))
 
-    async def _attempts(self, work: Work, answer: Answer) -> Problem | None:
-        """Try until the answer is whole or the request has to be given up."""
+    async def _run_attempts(self, work: Work, answer: Answer) -> Problem | None:
+        """Make attempts until the answer is complete or the request has failed."""
         while True:
-            match await self._ports.slots.acquire(self._wanted(work)):
+            match await self._ports.slots.acquire(self._next_attempt(work)):
                 case Failure(problem):
-                    if not await self._park(work, problem):
-                        return after_start(work, problem)
+                    if not await self._wait_to_requeue(work, problem):
+                        return adjust_if_started(work, problem)
                     continue
                 case Success(slot):
                     end = await SlotAttempt(self._ports, work, slot, answer).run()
-            if end is End.WHOLE:
+            if end is AttemptEnd.COMPLETED:
                 return None
-            if end is End.PREEMPTED:
-                work.wait_from_s = self._clock()
-            problem = next_step(work, slot.endpoint, end, self._budget)
+            if end is AttemptEnd.PREEMPTED:
+                work.wait_start_s = self._clock()
+            problem = record_failed_attempt(work, slot.endpoint, end, self._budget)
             if problem is not None:
                 return problem
 
-    def _wanted(self, work: Work) -> Attempt:
-        """Return what a slot is wanted for; endpoints that failed the work only if all did."""
+    def _next_attempt(self, work: Work) -> Attempt:
+        """Return the next attempt; it excludes endpoints that failed the work unless all did."""
         endpoints = work.endpoints()
-        rest = tuple(endpoint for endpoint in endpoints if endpoint.name not in work.avoid)
+        untried = tuple(endpoint for endpoint in endpoints if endpoint.name not in work.avoid)
         wait_s = work.wait_left_s(self._clock())
-        return Attempt(work.request, rest or endpoints, wait_s, work.resumable())
+        return Attempt(work.request, untried or endpoints, wait_s, work.preemptible())
 
-    async def _park(self, work: Work, problem: Problem) -> bool:
-        """Keep work that has started away from all queues; return whether it may ask again."""
+    async def _wait_to_requeue(self, work: Work, problem: Problem) -> bool:
+        """Pause work that has started; return whether it may ask for a slot again."""
         if not work.started or not work.request.repeatable:
             return False
         if work.wait_left_s(self._clock()) <= 0:
             return False
-        await asyncio.sleep(max(PARK_S, problem.retry_after_s or 0.0))
+        await asyncio.sleep(max(MIN_REQUEUE_DELAY_S, problem.retry_after_s or 0.0))
         return True
 
     async def resume(self, endpoint: Endpoint, request: Request, answer: Answer) -> bool:
-        """Follow a job that an endpoint has by id; return whether the answer became whole."""
+        """Resume a job by its id at an endpoint; return whether the answer was completed."""
         client = self._ports.clients[endpoint.kind]
         return await resume(client, endpoint, request, answer, self._clock)
--- a/packages/springbridge-node/springbridge_node/class_router/requests/slot_attempt.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/slot_attempt.py
@@ -1,7 +1,7 @@
 """One attempt: sends a request's job to the endpoint of a slot and reads the answer.
 
-Owns the attempt's tasks: one reads the stream, one waits for a preemption, one looks for stalls and
-reports latencies. The slot is given back whatever happens.
+Owns the attempt's tasks: one reads the stream, one waits for a preemption, one checks for stalls
+and reports latencies. The slot is always released.
 """
 
 import asyncio
@@ -22,13 +22,13 @@
 )
 
 from springbridge_node.class_router.requests.growing_answers import Answer
-from springbridge_node.class_router.requests.progress import Progress, stall_s_of
+from springbridge_node.class_router.requests.progress import Progress, stall_timeout_s
 from springbridge_node.class_router.requests.resumption import (
-    WATCH_INTERVAL_S,
+    STALL_CHECK_INTERVAL_S,
     read_into,
     resume,
 )
-from springbridge_node.class_router.requests.work import End, Work, outcome_of
+from springbridge_node.class_router.requests.work import AttemptEnd, Work, outcome_of
 
 # Interval of reporting a stream's latencies to its scheduler.
 SAMPLE_INTERVAL_S = 0.5
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class AttemptPorts:
-    """What attempts need from the node; the clock is monotonic, in seconds."""
+    """Dependencies of attempts; the clock is monotonic, in seconds."""
 
     slots: SlotSource
     clients: dict[EndpointKind, EndpointClient]
@@ -48,7 +48,7 @@
     """One attempt of a request in one slot."""
 
     def __init__(self, ports: AttemptPorts, work: Work, slot: Slot, answer: Answer):
-        """Start to measure; nothing is sent yet."""
+        """Start the attempt's clock; nothing is sent yet."""
         self._slots = ports.slots
         self._bindings = ports.bindings
         self._clock = ports.clock
@@ -60,8 +60,8 @@
         self._preempted = False
         self._stalled = False
 
-    async def run(self) -> End:
-        """Use the slot, give it back, and return how the attempt ended."""
+    async def run(self) -> AttemptEnd:
+        """Run the job in the slot, release the slot, and return how the attempt ended."""
         self._work.attempts += 1
         outcome = Outcome.CANCELLED
         try:
@@ -75,15 +75,15 @@
             self._slots.release(self._slot, outcome, sample)
 
     def _cancel_at_endpoint(self) -> None:
-        """Stop the endpoint's work in the background."""
+        """Cancel the job at the endpoint, in the background."""
         cancelling = self._client.cancel(self._slot.endpoint, self._work.job_id())
         task = asyncio.ensure_future(cancelling)
-        # The exception is read so that asyncio doesn't report it. None is logged: the attempt has
-        # failed already, and an endpoint that is gone cannot be cancelled either.
+        # The exception is read so that asyncio doesn't report it. It isn't logged: the attempt has
+        # failed already, and an endpoint that is gone can't be sent a cancellation either.
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
 
-    async def _run_watched(self) -> End:
-        """Send the job, and stop at a preemption or a stall."""
+    async def _run_watched(self) -> AttemptEnd:
+        """Send the job and read its answer until the end, a preemption or a stall."""
         reading = asyncio.ensure_future(self._send_and_read())
         watchers = [
             asyncio.ensure_future(self._watch_preemption(reading)),
@@ -91,20 +91,20 @@
         ]
         try:
             await reading
-            return End.WHOLE
+            return AttemptEnd.COMPLETED
         except asyncio.CancelledError:
             if self._preempted:
-                return End.PREEMPTED
+                return AttemptEnd.PREEMPTED
             if self._stalled:
-                return await self._after_break()
+                return await self._resume_broken_stream()
             reading.cancel()
             raise
         except NotAdmittedError:
             if not self._work.request.repeatable:
                 self._bindings.undo_dispatch(self._work.request.request_id)
-            return End.TURNED_AWAY
+            return AttemptEnd.NOT_ADMITTED
         except EndpointError:
-            return await self._after_break()
+            return await self._resume_broken_stream()
         finally:
             for watcher in watchers:
                 watcher.cancel()
@@ -115,11 +115,11 @@
         reading.cancel()
 
     async def _watch_stall(self, reading: asyncio.Future[None]) -> None:
-        """Report samples now and then, and stop an attempt that brings nothing for long."""
-        stall_s = stall_s_of(self._work.request, self._slot.endpoint)
+        """Report latencies every SAMPLE_INTERVAL_S, and cancel the reading of a stalled stream."""
+        stall_s = stall_timeout_s(self._work.request, self._slot.endpoint)
         reported_s = self._progress.started_s
         while True:
-            await asyncio.sleep(WATCH_INTERVAL_S)
+            await asyncio.sleep(STALL_CHECK_INTERVAL_S)
             now_s = self._clock()
             if self._progress.silence_s(now_s) > stall_s:
                 self._stalled = True
@@ -132,7 +132,8 @@
     async def _send_and_read(self) -> None:
         """Send the job and read its chunks into the answer.
 
-        What is not repeatable is recorded as dispatched first, in one step with the check.
+        A request that is not repeatable is first recorded as dispatched, atomically with the check
+        that it was not dispatched before.
         """
         work = self._work
         if not work.request.repeatable:
@@ -149,7 +150,7 @@
             raise
 
     def _job(self) -> Job:
-        """Return the job, which goes on behind the part of the answer that exists already."""
+        """Return the job, which continues after the part of the answer that exists already."""
         work, answer = self._work, self._answer
         return Job(
             work.job_id(),
@@ -160,12 +161,12 @@
             work.path,
         )
 
-    async def _after_break(self) -> End:
-        """Ask the endpoint to go on with a broken stream of work that may not be repeated."""
+    async def _resume_broken_stream(self) -> AttemptEnd:
+        """Resume a broken stream at the endpoint if the request is not repeatable."""
         request = self._work.request
         if request.repeatable:
-            return End.BROKEN
+            return AttemptEnd.STREAM_BROKEN
         endpoint = self._slot.endpoint
         if await resume(self._client, endpoint, request, self._answer, self._clock):
-            return End.WHOLE
-        return End.BROKEN
+            return AttemptEnd.COMPLETED
+        return AttemptEnd.STREAM_BROKEN
--- a/packages/springbridge-node/springbridge_node/class_router/requests/work_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/work_test.py
@@ -11,10 +11,10 @@
 from springbridge_node.class_router.requests.work import (
     MAX_PREEMPTIONS,
     MAX_REFUSED_ATTEMPTS,
-    End,
+    AttemptEnd,
     Work,
-    after_start,
-    next_step,
+    adjust_if_started,
+    record_failed_attempt,
 )
 
 ENDPOINT = Endpoint("engine-1", EndpointKind.MODEL, "127.0.0.1:9000", "perth-a", "m", 1000, True)
@@ -36,9 +36,9 @@
 def test_preemption_costs_no_retry_and_does_not_avoid_the_endpoint(budget):
     work = work_of(repeatable=True)
     for _ in range(MAX_PREEMPTIONS):
-        assert_that(work.resumable(), Is(True))
-        assert_that(next_step(work, ENDPOINT, End.PREEMPTED, budget), Is(None))
-    assert_that(work.resumable(), Is(False))
+        assert_that(work.preemptible(), Is(True))
+        assert_that(record_failed_attempt(work, ENDPOINT, AttemptEnd.PREEMPTED, budget), Is(None))
+    assert_that(work.preemptible(), Is(False))
     assert_that(work.avoid, Equals(set()))
     assert_that(budget.tokens, Equals(1.0))
 
@@ -47,27 +47,37 @@
 def test_endpoints_that_turn_it_away_are_passed_over_up_to_a_limit(budget, repeatable):
     work = work_of(repeatable)
     for _ in range(MAX_REFUSED_ATTEMPTS - 1):
-        assert_that(next_step(work, ENDPOINT, End.TURNED_AWAY, budget), Is(None))
-    assert_that(next_step(work, ENDPOINT, End.TURNED_AWAY, budget).code, Is(Code.NO_ENGINE))
+        assert_that(
+            record_failed_attempt(work, ENDPOINT, AttemptEnd.NOT_ADMITTED, budget), Is(None)
+        )
+    assert_that(
+        record_failed_attempt(work, ENDPOINT, AttemptEnd.NOT_ADMITTED, budget).code,
+        Is(Code.NO_ENGINE),
+    )
     assert_that(work.avoid, Contains(ENDPOINT.name))
     assert_that(budget.tokens, Equals(1.0))
 
 
 def test_broken_stream_of_work_that_may_run_once_ends_it(budget):
-    problem = next_step(work_of(repeatable=False), ENDPOINT, End.BROKEN, budget)
+    problem = record_failed_attempt(
+        work_of(repeatable=False), ENDPOINT, AttemptEnd.STREAM_BROKEN, budget
+    )
     assert_that(problem.code, Is(Code.OUTCOME_UNKNOWN))
 
 
 def test_broken_stream_of_repeatable_work_draws_on_the_budget(budget):
     work = work_of(repeatable=True)
-    assert_that(next_step(work, ENDPOINT, End.BROKEN, budget), Is(None))
-    assert_that(next_step(work, ENDPOINT, End.BROKEN, budget).code, Is(Code.ENGINE_FAILED))
+    assert_that(record_failed_attempt(work, ENDPOINT, AttemptEnd.STREAM_BROKEN, budget), Is(None))
+    assert_that(
+        record_failed_attempt(work, ENDPOINT, AttemptEnd.STREAM_BROKEN, budget).code,
+        Is(Code.ENGINE_FAILED),
+    )
 
 
 def test_work_that_has_started_is_not_said_not_to_have_run():
     work = work_of(repeatable=True)
     refused = Problem(Code.NO_ENGINE, retry_after_s=1.0)
-    assert_that(after_start(work, refused), Is(refused))
+    assert_that(adjust_if_started(work, refused), Is(refused))
     work.started = True
-    assert_that(after_start(work, refused).code, Is(Code.ENGINE_FAILED))
-    assert_that(after_start(work, refused).retry_after_s, Equals(1.0))
+    assert_that(adjust_if_started(work, refused).code, Is(Code.ENGINE_FAILED))
+    assert_that(adjust_if_started(work, refused).retry_after_s, Equals(1.0))
--- a/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
@@ -56,7 +56,7 @@
     Mutant(
         "only the home promises not run",
         f"{NODE}/class_router/requests/at_most_once.py",
-        "        return unknown_because(problem)\n\n    def serve",
+        "        return as_outcome_unknown(problem)\n\n    def serve",
         "        return problem\n\n    def serve",
         f"{NODE}/class_router/at_most_once_test.py::test_node_that_refuses_a_retry_does_not_say_that_it_was_not_run",
     ),
