--- a/packages/springbridge-ctl/springbridge_ctl/client.py
+++ b/packages/springbridge-ctl/springbridge_ctl/client.py
@@ -1,4 +1,4 @@
-"""Client of a node's operators' interface: one HTTP call a command, every failure a result."""
+"""HTTP client of a node's interface for operators; every failure is returned as a result."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,19 +10,19 @@
 from tornado.httpclient import HTTPClient, HTTPRequest
 
 TOKEN_HEADER = "Springbridge-Operator-Token"
-# Longest wait for a node's answer. Above the 9.5 s that a node may take to settle a commit whose
-# reply was lost (five looks of 0.3 s pause and two reads of 0.8 s).
+# Timeout for a node's answer. Above the 9.5 s that a node may take to settle a commit whose reply was
+# lost (five times 0.3 s pause and two reads of 0.8 s).
 TIMEOUT_S = 15.0
 
 
 @dataclass(frozen=True)
 class Operator:
-    """An operator at one node.
+    """Client of one node, with the operator's credentials.
 
     Attributes:
       node: IP number:port of a node's interface for callers, which serves operators as well.
       token: The secret that all operators share.
-      who: Name for the audit trail; empty where a command changes nothing.
+      who: Name for the audit trail; empty for commands that change nothing.
     """
 
     node: str
@@ -52,7 +52,7 @@
                 raise ConnectionError(str(response.error))
             answer = orjson.loads(response.body)
         except Exception as exc:
-            # Whatever keeps the answer away is one problem for an operator, who is shown its kind.
+            # Any failure to get an answer is the same problem for an operator, who sees its type.
             return Failure([Problem(Code.NODE_UNREACHABLE, type(exc).__name__, self.node)])
         finally:
             client.close()
@@ -62,7 +62,7 @@
 
 
 def _read_problem(raw: dict[str, Any]) -> Problem:
-    """Return a problem from a node's JSON, whose message is the detail and the code's advice."""
+    """Return the problem in a node's JSON; its message ends with the code's advice, which is removed."""
     code = Code(raw["code"])
     detail = raw["message"].removesuffix(Problem(code).info.advice).rstrip(": ")
     return Problem(code, detail, "", raw["retry_after_s"])
--- a/packages/springbridge-ctl/springbridge_ctl/main.py
+++ b/packages/springbridge-ctl/springbridge_ctl/main.py
@@ -1,6 +1,6 @@
 """Command line for operators: ``springbridgectl``.
 
-Relies on one node, which reads and writes the platform's table; nothing is kept here.
+Each command is sent to one node, which reads and writes the platform's table; no state is kept here.
 """
 
 import secrets
@@ -68,7 +68,7 @@
 
 
 def unwrap(result: Result[Any, list[Problem]]) -> Any:
-    """Return the value of a result, or print its problems and exit."""
+    """Return the value of a result, or print its problems and exit with status 1."""
     match result:
         case Success(value):
             return value
@@ -151,8 +151,8 @@
     """Send the difference between two tables as one change.
 
     Args:
-      snapshot: The table that the operator looked at.
-      rows: The table that the operator wants.
+      snapshot: The table that the change is based on.
+      rows: The rows that the table is to have after the change.
       strict: Whether any change since the snapshot is a conflict, or only one of the same rows.
       change_id: Repeated after an unknown outcome; empty for a new change.
     """
--- a/packages/springbridge-node/springbridge_node/class_router/assembly.py
+++ b/packages/springbridge-node/springbridge_node/class_router/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a node with the adapters for its platform."""
+"""Builds a node with the HTTP adapters for its platform."""
 
 import time
 
--- a/packages/springbridge-node/springbridge_node/class_router/callers/caller_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/caller_handler.py
@@ -1,4 +1,4 @@
-"""What all handlers for callers share: answers to problems. Also health and readiness."""
+"""Base of the HTTP handlers for callers, which answers problems; also health and readiness."""
 
 import orjson
 from springbridge.codes import Code
@@ -18,11 +18,11 @@
     node: NodeParts
 
     def initialize(self, node: NodeParts) -> None:
-        """Keep the node's parts."""
+        """Store the node's parts."""
         self.node = node
 
     def refuse(self, problem: Problem) -> None:
-        """Answer with a problem, at once."""
+        """Answer with a problem and end the request."""
         self.finish(self.prepare_refusal(problem))
 
     def prepare_refusal(self, problem: Problem) -> bytes:
@@ -38,7 +38,7 @@
         return orjson.dumps(body)
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answer a fault of this program or an unknown path; callers never see a traceback."""
+        """Answer an internal error or an unknown path; callers never see a traceback."""
         code = Code.UNKNOWN_PATH if status_code in (404, 405) else Code.INTERNAL
         self.refuse(Problem(code))
 
@@ -49,7 +49,7 @@
 
 
 def describe(problem: Problem) -> dict[str, object]:
-    """Return a problem as callers see it."""
+    """Return a problem as the JSON object that callers and operators receive."""
     return {
         "code": int(problem.code),
         "name": problem.code.name,
@@ -68,7 +68,7 @@
 
 
 class HealthHandler(CallerHandler):
-    """Health: the process answers."""
+    """Liveness: the process answers."""
 
     def get(self) -> None:
         """Answer with 200."""
@@ -76,11 +76,11 @@
 
 
 class ReadyHandler(CallerHandler):
-    """Readiness: the node takes new requests."""
+    """Readiness: the node accepts new requests."""
 
     def get(self) -> None:
-        """Answer with 200 and the version in force, or with why requests are refused."""
-        problem = self.node.closed()
+        """Answer with 200 and the table's version, or with why requests are refused."""
+        problem = self.node.refusal_reason()
         if problem is not None:
             self.refuse(problem)
         else:
--- a/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/callers_http.py
@@ -1,6 +1,6 @@
-"""Callers' interface: chat completions, plain services, addresses.
+"""HTTP interface for callers: chat completions, calls to plain services, addresses of nodes.
 
-Translates between HTTP and the node's parts: reads bodies, and writes answers as they grow.
+Parses request bodies, and writes answers while they arrive from the endpoints.
 """
 
 import time
@@ -23,25 +23,25 @@
 )
 from springbridge_node.class_router.requests.growing_answers import Answer
 
-# Characters of a prompt that are counted as one token when its memory at an endpoint is estimated.
-# A rule of thumb for English text.
+# Characters of a prompt per token, to estimate its memory at an endpoint. A rule of thumb for
+# English text.
 CHARS_PER_TOKEN = 4
 EVENT_STREAM = "text/event-stream"
 
 
 @dataclass(frozen=True)
 class ChatCall:
-    """What the node reads of a chat completion's body; the engine gets the body as it came."""
+    """The fields of a chat completion that the node uses; the engine gets the body unchanged."""
 
     stream: bool
     prompt_tokens: int
 
 
 class AddressesHandler(CallerHandler):
-    """Addresses: which nodes callers may use for a class, and for how long to keep the answer."""
+    """Tells callers which nodes they may use for a class, and how long the answer is valid."""
 
     def get(self) -> None:
-        """Answer with the live nodes in allowed failure domains, each with a prefix for ids."""
+        """Answer with the live nodes in allowed failure domains, each with a request id prefix."""
         table = self.node.config.table
         name = self.get_query_argument("class", self.request.headers.get(CLASS_HEADER, ""))
         match permit_of(table, self.request.headers, name):
@@ -71,7 +71,7 @@
 
 
 class ChatHandler(WorkHandler):
-    """OpenAI-style chat completions, streamed or whole."""
+    """OpenAI-style chat completions, streamed or in one piece."""
 
     async def _run(self, admitted: Admitted) -> None:
         match read_chat(bytes(self.body)):
@@ -81,7 +81,7 @@
                 await self._complete(admitted, call)
 
     async def _complete(self, admitted: Admitted, call: ChatCall) -> None:
-        """Run a chat completion and write its answer, streamed or whole."""
+        """Run a chat completion and write its answer, streamed or in one piece."""
         match self.start(admitted, call.prompt_tokens, ""):
             case Failure(problem):
                 self.refuse(problem)
@@ -89,13 +89,13 @@
             case Success(answer):
                 pass
         if call.stream:
-            await self._stream(admitted, answer)
+            await self._send_stream(admitted, answer)
         else:
-            await self._whole(admitted, answer)
-        self.note_end(admitted, answer.problem)
+            await self._send_complete(admitted, answer)
+        self.record_end(admitted, answer.problem)
 
-    async def _whole(self, admitted: Admitted, answer: Answer) -> None:
-        """Write the answer in one piece."""
+    async def _send_complete(self, admitted: Admitted, answer: Answer) -> None:
+        """Write the answer in one piece when it is complete."""
         await answer.wait_ended()
         if answer.problem is not None:
             self.refuse(answer.problem)
@@ -112,8 +112,8 @@
         self.finish(orjson.dumps(body))
         self.node.metrics.incr("answers.OK")
 
-    async def _stream(self, admitted: Admitted, answer: Answer) -> None:
-        """Write the answer as server-sent events; its first chunk decides on the status."""
+    async def _send_stream(self, admitted: Admitted, answer: Answer) -> None:
+        """Write the answer as server-sent events; the status is sent with the first chunk."""
         started = False
         try:
             async for chunk in answer.follow():
@@ -123,8 +123,7 @@
                 self.write(event(answer.request_id, chunk))
                 await self.flush()
         except StreamClosedError:
-            # The caller is gone, so nobody is left to answer; how the request ended is logged
-            # below.
+            # The caller has disconnected; how the request ended is logged by _complete().
             return
         if answer.problem is not None and not started:
             self.refuse(answer.problem)
@@ -142,7 +141,8 @@
     def _end_stream(self, problem: Problem | None) -> None:
         """Write the end marker, or an error event in its place.
 
-        Part of the answer is out, so the error event never says that the request did not run.
+        Part of the answer has been sent, so the error event never says that the request did not
+        run.
         """
         if problem is None:
             self.finish(b"data: [DONE]\n\n")
@@ -157,7 +157,7 @@
 class ServiceHandler(WorkHandler):
     """Calls to plain services, below /v1/services/NAME/."""
 
-    def _wrong_kind(self, admitted: Admitted) -> Problem | None:
+    def _wrong_target(self, admitted: Admitted) -> Problem | None:
         name = self.path_args[0]
         if admitted.request_class.target != name:
             return Problem(Code.UNKNOWN_SERVICE, f"the class is for another target than {name}")
@@ -178,7 +178,7 @@
             self.set_header("Content-Type", JSON)
             self.finish(answer.text().encode(errors="surrogateescape"))
             self.node.metrics.incr("answers.OK")
-        self.note_end(admitted, answer.problem)
+        self.record_end(admitted, answer.problem)
 
 
 def event(request_id: str, chunk: Chunk) -> bytes:
@@ -199,7 +199,7 @@
 
 
 def read_chat(body: bytes) -> Result[ChatCall, Problem]:
-    """Return what the node needs of a chat completion's body, or BODY_MALFORMED."""
+    """Return the fields of a chat completion that the node uses, or BODY_MALFORMED."""
     try:
         raw = orjson.loads(body)
         messages = raw["messages"]
--- a/packages/springbridge-node/springbridge_node/class_router/callers/http_app.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/http_app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a node: which path is answered by which handler."""
+"""Maps the paths of a node's HTTP interface to their handlers."""
 
 from tornado.web import Application
 
--- a/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers/work_handler.py
@@ -1,7 +1,7 @@
-"""Requests that run at an endpoint: checked before their body is read, admitted, started.
+"""Base of handlers whose requests run at an endpoint: checks headers, reads the body, admits, runs.
 
-One handler is one request. Its state: whether it was refused, its body so far, the timer that
-bounds the reading of the body, and the task of work that may be cancelled.
+A handler serves one request. Its state: whether the request was refused, its body so far, the timer
+that limits the reading of the body, and the task of work that may be cancelled.
 """
 
 import asyncio
@@ -25,8 +25,8 @@
 from springbridge_node.class_router.requests.limit_gate import hold_until_done
 from springbridge_node.class_router.requests.work import Work
 
-# How long the rest of a refused body is read and thrown away before the connection is closed.
-# A sender that is cut off at once sees a reset in place of the answer.
+# How long the rest of a refused body is read and discarded before the connection is closed. If it
+# were closed at once, the sender would get a reset in place of the answer.
 DISCARD_S = 2.0
 
 
@@ -36,13 +36,13 @@
 
     Attributes:
       arrived_s: When its headers were read, on the node's monotonic clock.
-      refused: Whether it was answered before its body was read; the rest of that is discarded.
-      task: The work of a repeatable request; it is cancelled when the caller goes away.
-      admitted: What its headers ask for, None before they are checked.
+      refused: Whether it was answered before its body was read; the rest of the body is discarded.
+      task: The work of a repeatable request; it is cancelled when the caller disconnects.
+      admitted: The result of checking its headers, None before that.
     """
 
     def prepare(self) -> None:
-        """Refuse by the headers where possible, and give the sender a time for the body."""
+        """Start the timer for the body, and refuse the request if its headers are a reason to."""
         self.arrived_s = self.node.clock()
         self.body = bytearray()
         self.refused = False
@@ -50,7 +50,7 @@
         self.repeatable = False
         self.admitted: Admitted | None = None
         self._timer = asyncio.get_running_loop().call_later(
-            self.node.settings.body_timeout_s, self._too_slow
+            self.node.settings.body_timeout_s, self._refuse_slow_sender
         )
         problem = self._problem_before_body()
         if problem is not None:
@@ -66,31 +66,33 @@
             return Problem(Code.BODY_TOO_LARGE, f"at most {limit} bytes")
         match admit(self.node.config.table, self.request.headers):
             case Failure(problem) if self.node.config.table.version == 0:
-                return self.node.closed() or problem
+                return self.node.refusal_reason() or problem
             case Failure(problem):
                 return problem
             case Success(admitted):
                 self.admitted = admitted
         return (
-            self._wrong_failure_domain(admitted) or self._wrong_kind(admitted) or self.node.closed()
+            self._wrong_failure_domain(admitted)
+            or self._wrong_target(admitted)
+            or self.node.refusal_reason()
         )
 
     def _wrong_failure_domain(self, admitted: Admitted) -> Problem | None:
-        """Return a problem where this node's failure domain may not handle the data."""
+        """Return a problem if the data may not be handled in this node's failure domain."""
         failure_domain = self.node.settings.failure_domain
         if failure_domain in admitted.failure_domains:
             return None
         return Problem(Code.WRONG_PLACE, source=failure_domain)
 
     def refusal_for(self, problem: Problem) -> Problem:
-        """Return the problem to answer with: "not run" only where this node can promise it."""
+        """Return the problem to answer with; it says NOT_RUN only if this node can promise that."""
         if self.admitted is None:
             return problem
         owner = self.admitted.owner
         return self.node.at_most_once.refusal_for(self.admitted.request_id, owner, problem)
 
-    def _wrong_kind(self, admitted: Admitted) -> Problem | None:
-        """Return a problem where the path does not fit the class; subclasses know which do."""
+    def _wrong_target(self, admitted: Admitted) -> Problem | None:
+        """Return a problem if the path doesn't match the class's target; for subclasses."""
         return None
 
     def _refuse_unread(self, problem: Problem) -> None:
@@ -111,13 +113,13 @@
         if not self._finished:
             self.finish()
 
-    def _too_slow(self) -> None:
+    def _refuse_slow_sender(self) -> None:
         """Refuse a sender that does not finish its body in time."""
         if not self.refused:
             self._refuse_unread(self.refusal_for(Problem(Code.SENDER_TOO_SLOW)))
 
     def data_received(self, chunk: bytes) -> None:
-        """Take in a piece of the body."""
+        """Append received bytes to the body; refuse it above max_body_bytes."""
         if self.refused:
             return
         self.body += chunk
@@ -125,13 +127,13 @@
             self._refuse_unread(self.refusal_for(Problem(Code.BODY_TOO_LARGE)))
 
     def on_connection_close(self) -> None:
-        """Stop work whose caller is gone, if it may be repeated."""
+        """Cancel the work of a caller that has disconnected, if it may be repeated."""
         self._timer.cancel()
         if self.task is not None and self.repeatable:
             self.task.cancel()
 
     async def post(self, *path: str) -> None:
-        """Run the request."""
+        """Run the request under its limit, or refuse it."""
         self._timer.cancel()
         if self.refused or self.admitted is None:
             self._end_refusal()
@@ -148,8 +150,8 @@
         raise NotImplementedError
 
     def start(self, admitted: Admitted, prompt_tokens: int, path: str) -> Result[Answer, Problem]:
-        """Start the request's work, or find the work of an earlier try, and return its answer."""
-        request_id = admitted.request_id or self._own_id()
+        """Start the request's work, or find that of an earlier attempt, and return its answer."""
+        request_id = admitted.request_id or self._new_request_id()
         self.repeatable = admitted.repeatable
         request = Request(
             request_id=request_id.text,
@@ -170,15 +172,15 @@
         self.task = asyncio.create_task(running)
         return Success(answer)
 
-    def _own_id(self) -> RequestId:
-        """Return an id for a request that came without one; this node is its home."""
+    def _new_request_id(self) -> RequestId:
+        """Return a new id for a request without one, with this node as its home."""
         me = self.node.membership.me.incarnation
         now_s = time.time()
         text = request_ids.prefix(me, now_s) + secrets.token_hex(8)
         return RequestId(text, me, int(now_s))
 
     def _endpoints(self, admitted: Admitted) -> Callable[[], tuple[Endpoint, ...]]:
-        """Return a function that finds the endpoints that the table in force allows.
+        """Return a function that returns the endpoints allowed by the table in force.
 
         It is called for each attempt, since the table may change while the request waits.
         """
@@ -194,7 +196,7 @@
 
         return endpoints
 
-    def note_end(self, admitted: Admitted, problem: Problem | None) -> None:
+    def record_end(self, admitted: Admitted, problem: Problem | None) -> None:
         """Log and count how the request ended."""
         code = Code.OK if problem is None else problem.code
         seconds = self.node.clock() - self.arrived_s
--- a/packages/springbridge-node/springbridge_node/class_router/class_log.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_log.py
@@ -10,7 +10,7 @@
 
 
 def start(instance: str, incarnation: str) -> None:
-    """Send all events to standard output as JSON lines, and log the start."""
+    """Log all events to standard output as JSON lines, and log the start of the node."""
     to_file(sys.stdout)
     logging.basicConfig(handlers=[logs.LibraryHandler()], level=logging.WARNING, force=True)
     logs.event(
@@ -22,7 +22,7 @@
 
 
 def violation(name: str, detail: str) -> None:
-    """Log that an invariant does not hold."""
+    """Log a violated invariant."""
     logs.event("invariant.violated", invariant=name, detail=detail)
 
 
--- a/packages/springbridge-node/springbridge_node/class_router/class_node.py
+++ b/packages/springbridge-node/springbridge_node/class_router/class_node.py
@@ -1,10 +1,10 @@
-"""A node of ``springbridge serve``: its parts wired together, its tasks, and its planned stop.
+"""A node of ``springbridge serve``: wires its parts, runs its tasks, and performs its planned stop.
 
-Owns the node's incarnation, its parts and its periodic tasks. Relies on the ports of the library,
-for which assembly.py has the platform's adapters.
+Owns the node's incarnation, its parts and its periodic tasks. Depends on the ports of the library;
+assembly.py provides the platform's adapters.
 
-The gateway has a planned stop of its own (gateway/lifecycle.py), since its platform kills it after
-a grace time and it has to end before. Nothing limits the stop here: it waits for every answer.
+The gateway has its own planned stop (gateway/lifecycle.py), since its platform kills it after a
+grace period. Nothing limits the stop here: it waits for every answer.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 from springbridge_node.class_router.endpoints.load_reports import LoadReports
 from springbridge_node.class_router.endpoints.model_client import ModelClient
 from springbridge_node.class_router.endpoints.orders import Orders
-from springbridge_node.class_router.endpoints.policies import slot_source
+from springbridge_node.class_router.endpoints.policies import slot_source_for
 from springbridge_node.class_router.endpoints.scheduler_host import SchedulerHost
 from springbridge_node.class_router.endpoints.scheduler_roles import SchedulerRoles
 from springbridge_node.class_router.endpoints.service_client import ServiceClient
@@ -54,21 +54,21 @@
 from springbridge_node.class_router.serve_settings import Policy, Settings, split
 from springbridge_node.periodic import every
 
-# Interval of reading the platform's list of instances. It only seeds the membership, which gossip
+# Interval of polling the platform's list of instances. It only seeds the membership, which gossip
 # corrects within seconds.
-LIST_POLL_S = 2.0
-# Added to the time for which callers may keep an address, before a leaving node refuses requests.
-# It covers an address answer that was on its way when the node began to leave.
+INSTANCE_LIST_POLL_INTERVAL_S = 2.0
+# Added to the time for which callers may cache an address, before a leaving node refuses requests.
+# It covers an address answer that was in transit when the node began to leave.
 LEAVE_MARGIN_S = 0.5
-# Interval of looking whether requests still run, and the time that the last digest gets to leave.
+# Interval of checking for requests in flight, and the time allowed for sending the last digest.
 # It delays the end of a planned stop by this much at most.
 DRAIN_POLL_S = 0.1
-# Time after the last request in which peers can still read the end of an answer that they relay.
-LINGER_S = 1.0
+# Time after the last request for peers to read the end of an answer that they relay.
+RELAY_GRACE_S = 1.0
 # Largest body in bytes that the HTTP server lets a handler read. It is far above the setting
-# max_body_bytes, so that the handler answers BODY_TOO_LARGE and the server does not cut the sender
-# off.
-LARGEST_DISCARDED_BYTES = 1 << 30
+# max_body_bytes, so that the handler can answer BODY_TOO_LARGE and the server does not close the
+# connection first.
+MAX_DISCARDED_BODY_BYTES = 1 << 30
 
 
 class Node:
@@ -96,17 +96,17 @@
         self._stopping = asyncio.Event()
 
     def _wire_peers(self) -> None:
-        """Wire what keeps members, table and limits in step with the peers."""
-        self.membership = Membership(self._myself(), self.clock, random.Random())
+        """Wire the parts that synchronize members, table and limits with peers."""
+        self.membership = Membership(self._own_member(), self.clock, random.Random())
         self.config = ConfigSync(
             self.store, self.membership, self.clock, self.send, self.invariants
         )
         self.limits = LimitGate(self.membership, self.clock, lambda: self.config.table, self.send)
-        self.links = PeerLinks(self._metadata, self._link_opened, self._link_broke)
+        self.links = PeerLinks(self._metadata, self._on_link_open, self._on_link_break)
         self.digests = DigestSender(self.membership, self.config, self.links, self.clock)
 
     def _wire_slots(self) -> None:
-        """Wire the schedulers that run here and the slots that this node asks others for."""
+        """Wire the schedulers on this node, and the client that requests slots from all of them."""
         self.hosts = SchedulerHost(
             self.incarnation, self.clock, self.invariants, lambda: self.config.table, self.send
         )
@@ -121,14 +121,14 @@
         )
 
     def _wire_requests(self) -> None:
-        """Wire what runs requests at endpoints."""
+        """Wire the parts that run requests at endpoints."""
         http = make_client()
         self.model_client = ModelClient(http)
         clients = {EndpointKind.MODEL: self.model_client, EndpointKind.SERVICE: ServiceClient(http)}
         bindings = Bindings(self.clock, time.time, self.invariants)
         self.answers = KeptAnswers(self.clock)
         self.load_reports = LoadReports(self.model_client, lambda: self.config.table)
-        slots = slot_source(self.settings.policy, self.slots, self.load_reports)
+        slots = slot_source_for(self.settings.policy, self.slots, self.load_reports)
         self.runner = Runner(AttemptPorts(slots, clients, bindings, self.clock))
         self.lookup = HomeLookup(self.membership, bindings, self.store, self.send)
         self.at_most_once = AtMostOnce(
@@ -136,14 +136,14 @@
         )
 
     def _wire_interfaces(self) -> None:
-        """Wire what peers, callers and operators speak to."""
+        """Wire the interfaces for peers, callers and operators."""
         self.intake = MessageIntake(
             IntakeParts(
                 self.hosts, self.slots, self.membership, self.config, self.limits, self.lookup
             )
         )
         self.peer_service = PeerService(
-            self.incarnation, self.settings.peer_token, self.answers, self.take
+            self.incarnation, self.settings.peer_token, self.answers, self.receive
         )
         self.parts = NodeParts(
             self.settings,
@@ -160,7 +160,7 @@
             self.parts, self.store, editor, orders, self.hosts, self.links, self.invariants
         )
 
-    def _myself(self) -> Member:
+    def _own_member(self) -> Member:
         return Member(
             incarnation=self.incarnation,
             instance=self.settings.instance,
@@ -172,40 +172,40 @@
     # Messages.
 
     def send(self, node: str, message: Message) -> None:
-        """Send a message to an incarnation; it may get lost."""
+        """Send a message to an incarnation, without a guarantee of delivery."""
         if node == self.incarnation:
-            asyncio.get_running_loop().call_soon(self.take, message)
+            asyncio.get_running_loop().call_soon(self.receive, message)
             return
         member = self.membership.find(node)
         if member is not None:
             self.links.send(member.peer_address, message)
 
-    def take(self, message: Message) -> None:
-        """Take in a message from a peer or from this node itself."""
-        self.intake.take(message)
+    def receive(self, message: Message) -> None:
+        """Dispatch a message from a peer or from this node itself."""
+        self.intake.dispatch(message)
 
-    def _link_opened(self, address: str) -> None:
-        """Introduce this node to the peer, then repeat what may have been lost."""
-        self.digests.introduce(address)
+    def _on_link_open(self, address: str) -> None:
+        """Send the peer a digest, then repeat messages that may have been lost."""
+        self.digests.send_to(address)
         self.slots.resend()
 
-    def _link_broke(self, address: str) -> None:
+    def _on_link_break(self, address: str) -> None:
         for member in self.membership.reachable():
             if member.peer_address == address:
                 self.membership.lost_contact(member.incarnation)
 
-    async def _read_list(self) -> None:
-        """Take in the platform's list of instances."""
+    async def _poll_instance_list(self) -> None:
+        """Read the platform's list of instances and seed the membership with it."""
         match await self.listing.instances():
             case Success(listed):
                 addresses = {entry.peer_address for entry in listed if not entry.leaving}
                 self.membership.set_listed(addresses)
             case Failure(_):
-                # The last list stays in use. It is only a seed, so an outage of it does no harm
-                # while gossip keeps the members; an outage of the table shows in the heartbeats.
+                # The previous list stays in use. It only seeds the membership, which gossip keeps
+                # up to date during an outage; an outage of the table is shown by the heartbeats.
                 pass
 
-    # Life.
+    # Lifecycle.
 
     async def run(self) -> None:
         """Serve until a planned stop has finished."""
@@ -229,7 +229,7 @@
     def _start_callers(self) -> HTTPServer:
         """Listen for callers and operators."""
         application = make_application(self.parts, self.operator_parts)
-        server = HTTPServer(application, max_body_size=LARGEST_DISCARDED_BYTES)
+        server = HTTPServer(application, max_body_size=MAX_DISCARDED_BODY_BYTES)
         host, port = split(self.settings.caller_address)
         server.listen(port, host)
         return server
@@ -247,7 +247,7 @@
         )
         running: list[Awaitable[None]] = [
             self.config.run(),
-            every(LIST_POLL_S, self._read_list),
+            every(INSTANCE_LIST_POLL_INTERVAL_S, self._poll_instance_list),
             housekeeping.run(),
         ]
         if self.settings.policy == Policy.LEAST_LOAD:
@@ -255,10 +255,10 @@
         self._tasks = [asyncio.ensure_future(one) for one in running]
 
     async def _drain(self) -> None:
-        """Planned stop: announce it, serve on while callers may hold this address, then finish.
+        """Drain: announce the stop, serve while callers may have cached this address, then finish.
 
-        New requests are refused once callers had time to learn other addresses. Requests that run
-        end whole, however long they take.
+        New requests are refused once callers had time to learn other addresses. Requests in flight
+        run to completion, however long they take.
         """
         logs.event("node.leaving", instance=self.settings.instance, running=self.parts.running)
         self.membership.leave()
@@ -267,13 +267,13 @@
         self.parts.refusing = True
         while self.parts.running or self.at_most_once.tasks:
             await asyncio.sleep(DRAIN_POLL_S)
-        await asyncio.sleep(LINGER_S)
-        self.digests.say_goodbye()
+        await asyncio.sleep(RELAY_GRACE_S)
+        self.digests.announce_end()
         await asyncio.sleep(DRAIN_POLL_S)
 
     async def _end_tasks(self) -> None:
         for task in self._tasks:
             task.cancel()
-        # They were cancelled just now, so what they raise is that.
+        # They were just cancelled, so they raise CancelledError.
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.links.close()
--- a/packages/springbridge-node/springbridge_node/class_router/config/editing.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/editing.py
@@ -1,6 +1,6 @@
-"""Commits an operator's edit of the table: checked against the newest rows, then written once.
+"""Commits operators' edits of the table: checks them against the newest rows and writes them once.
 
-A lost reply is settled by the change id: repeating an edit under the same id changes nothing more.
+Edits are idempotent by change id: repeating one after a lost reply has no further effect.
 """
 
 from collections.abc import Callable
@@ -17,19 +17,19 @@
 from springbridge_node import logs
 from springbridge_node.class_router.config.config_sync import ConfigSync
 
-# Tries to commit an edit that keeps losing races against edits of other rows.
-COMMIT_TRIES = 5
-# When an operator may try again while the table is out: two intervals of reading it.
+# Attempts to commit an edit while concurrent edits of other rows are committed first.
+MAX_COMMIT_ATTEMPTS = 5
+# Retry-After while the table service is unavailable: two poll intervals.
 OUTAGE_RETRY_S = 2.0
 
 
 @dataclass(frozen=True)
 class EditRequest:
-    """What an operator asks for.
+    """An operator's request to edit the table.
 
     Attributes:
-      change_id: Chosen by the operator's command; a repeat with the same id changes nothing more.
-      base_version: The version that the operator looked at.
+      change_id: Chosen by the operator's command; a repeat with the same id has no further effect.
+      base_version: The version of the table that the edit is based on.
       strict: Whether any change since base_version is a conflict, or only one of the same rows.
     """
 
@@ -50,10 +50,10 @@
         membership: Membership,
         announce: Callable[[], None],
     ):
-        """Keep the ports.
+        """Store the dependencies.
 
         Args:
-          announce: Sends a digest to all peers, so that they ask for a new version at once.
+          announce: Sends a digest to all peers, so that they request a new version at once.
         """
         self._store = store
         self._config = config
@@ -61,14 +61,14 @@
         self._announce = announce
 
     async def edit(self, request: EditRequest) -> Result[int, list[Problem]]:
-        """Accept or refuse an edit.
+        """Commit or refuse an edit.
 
         Returns:
-          The version that the edit led to, or all the problems that were found.
+          The version that contains the edit, or all problems that were found.
         """
         if not self._membership.sees_majority():
             return Failure([Problem(Code.NO_MAJORITY)])
-        for _ in range(COMMIT_TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             match await self._try_edit(request):
                 case Success(version):
                     return Success(version)
@@ -88,7 +88,7 @@
             return Failure([Problem(Code.TABLE_UNAVAILABLE, retry_after_s=OUTAGE_RETRY_S)])
         snapshot = self._config.snapshot
         if request.strict and snapshot.version != request.base_version:
-            return Failure([_not_the_base(request.base_version, snapshot)])
+            return Failure([_version_conflict(request.base_version, snapshot)])
         match check_edits(snapshot, request.edits):
             case Failure(problems):
                 return Failure(problems)
@@ -96,13 +96,15 @@
         match await self._store.commit(change):
             case Failure(problem):
                 return Failure([problem])
-        return await self._accepted(change, snapshot)
+        return await self._announce_accepted(change, snapshot)
 
-    async def _accepted(self, change: Change, before: Snapshot) -> Result[int, list[Problem]]:
-        """Put an accepted change in force here and announce it.
+    async def _announce_accepted(
+        self, change: Change, before: Snapshot
+    ) -> Result[int, list[Problem]]:
+        """Apply an accepted change on this node and announce it.
 
-        After a lost reply the change may have been accepted under a later version than asked for,
-        so its audit record is read back and counts.
+        After a lost reply the change may have been accepted under a later version than the one
+        requested, so the version is taken from the audit record.
         """
         match await self._store.find_change(change.change_id):
             case Success(Change() as written):
@@ -116,12 +118,12 @@
         return Success(change.version)
 
 
-def _not_the_base(base_version: int, snapshot: Snapshot) -> Problem:
+def _version_conflict(base_version: int, snapshot: Snapshot) -> Problem:
     detail = f"the table is at version {snapshot.version}, your edit is based on {base_version}"
     return Problem(Code.VERSION_CONFLICT, detail, "table")
 
 
 def _change(request: EditRequest, snapshot: Snapshot) -> Change:
-    """Return the change that an edit leads to after a snapshot."""
+    """Return the change that applies an edit to a snapshot."""
     when = datetime.now(UTC).isoformat(timespec="milliseconds")
     return Change(snapshot.version + 1, request.change_id, request.who, when, request.edits)
--- a/packages/springbridge-node/springbridge_node/class_router/config/instance_list.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/instance_list.py
@@ -9,10 +9,10 @@
 
 
 class HttpInstanceList:
-    """The platform's lagging list of instances."""
+    """The platform's list of instances, which lags."""
 
     def __init__(self, address: str, client: AsyncHTTPClient):
-        """Keep the address of the list and an HTTP client."""
+        """Store the client and the list's address, IP number:port."""
         self._url = f"http://{address}/instances"
         self._client = client
 
--- a/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/platform_http.py
@@ -1,4 +1,4 @@
-"""Calls to the platform over HTTP; every failure becomes a result."""
+"""HTTP calls to the platform's services; every failure is returned as a result."""
 
 from typing import Any
 
@@ -8,17 +8,17 @@
 from springbridge.problems import Problem
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
-# Longest wait for a read. Derived: it stays below the 1 s between two reads of the version, so
-# that a silent service is noticed within the 3 s for which a confirmation is fresh.
+# Timeout of a read. It is below the 1 s between two reads of the version, so that an unresponsive
+# service is noticed within the 3 s for which a confirmation is fresh.
 READ_TIMEOUT_S = 0.8
-# When a caller may try again after an outage of the table: two of the node's reads.
+# Retry-After while the table service is unavailable: two of the node's poll intervals.
 RETRY_AFTER_S = 2.0
 
 
 async def fetch_json(
     client: AsyncHTTPClient, url: str, body: bytes | None, timeout_s: float
 ) -> Result[Any, Problem]:
-    """Return the decoded JSON of an answer, or TABLE_UNAVAILABLE for whatever went wrong."""
+    """Return the decoded JSON of an answer, or TABLE_UNAVAILABLE for any failure."""
     request = HTTPRequest(
         url,
         method="GET" if body is None else "POST",
--- a/packages/springbridge-node/springbridge_node/class_router/config/stored_table.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/stored_table.py
@@ -1,6 +1,6 @@
-"""How the operators' table is laid out in the rows of the platform's table service.
+"""Layout of the operators' table in the rows of the platform's table service.
 
-Stored data: keys and values stay readable by nodes of other versions.
+This is stored data: keys and values must stay readable by nodes of other builds.
 """
 
 from dataclasses import dataclass
@@ -9,8 +9,8 @@
 import orjson
 from springbridge.classes.table.changes import Change, Snapshot, encode_change
 
-# Prefixes of keys: rows of the table, audit records by version, audit keys by change id, claims on
-# request ids without a home, leases for orders. The version of the table is a row of its own.
+# Key prefixes: rows of the table, audit records by version, audit keys by change id, claims on
+# request ids that name no home, leases for orders. The table's version is in a row of its own.
 ROWS = "rows/"
 AUDIT = "audit/"
 CHANGE_IDS = "change/"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class StoredRow:
-    """A row of the table service; version 0 stands for no row."""
+    """A row of the table service; version 0 means that there is no row."""
 
     version: int
     value: str
@@ -32,8 +32,8 @@
     """The lease for orders to one endpoint.
 
     Attributes:
-      holder: Incarnation of the node that took it last.
-      epoch: Grows with each change of holder.
+      holder: Incarnation of the node that acquired it last.
+      epoch: Incremented at each change of holder.
       until_s: End, in seconds since 1970 on the holder's clock.
     """
 
@@ -43,7 +43,7 @@
 
     @classmethod
     def from_row(cls, row: StoredRow) -> "StoredLease":
-        """Return the lease in a row, or one that nobody has held."""
+        """Return the lease stored in a row, or an expired one without holder if there is no row."""
         if not row.version:
             return cls()
         found = orjson.loads(row.value)
@@ -51,12 +51,12 @@
 
 
 def audit_key(version: int) -> str:
-    """Return the key of an audit record, ordered like the versions."""
+    """Return the key of an audit record; keys sort in the order of versions."""
     return f"{AUDIT}{version:012d}"
 
 
 def to_snapshot(found: Any) -> Snapshot:
-    """Return the table from a scan of its rows and version."""
+    """Return the snapshot in a scan of the table's rows and version."""
     rows = found["rows"]
     version = int(rows[VERSION]["value"]) if VERSION in rows else 0
     cells = {
@@ -68,7 +68,7 @@
 
 
 def writes_of(change: Change) -> dict[str, str | None]:
-    """Return everything that a change writes; None deletes a row."""
+    """Return the values by key that a change writes; None deletes a row."""
     writes: dict[str, str | None] = {
         VERSION: str(change.version),
         CHANGE_IDS + change.change_id: audit_key(change.version),
--- a/packages/springbridge-node/springbridge_node/class_router/config/table_store.py
+++ b/packages/springbridge-node/springbridge_node/class_router/config/table_store.py
@@ -1,8 +1,8 @@
 """Adapter for the platform's table service, over HTTP.
 
-The table service offers transactions: conditions on row versions (0 stands for no row) and writes,
-applied together or not at all. Each change writes a row under its own id. A commit whose reply is
-lost is settled by reading that row back.
+The table service offers atomic transactions: conditions on row versions (0 means no row) and
+writes. Each change writes a row under its own id; if the reply to a commit is lost, that row is
+read back to learn the outcome.
 """
 
 import asyncio
@@ -36,16 +36,15 @@
     writes_of,
 )
 
-# Longest wait for a transaction. Longer than a read, since a lost reply has to be settled by
-# reading back.
+# Timeout of a transaction. Longer than that of a read, since a lost reply requires reading back.
 WRITE_TIMEOUT_S = 2.0
-# Looks at the table for a change whose reply was lost before the outcome is given as unknown. With
-# the pause it bridges an outage of 1.5 s; a longer one ends with EDIT_UNKNOWN.
-SETTLE_TRIES = 5
-# Pause before each of these looks: a write that is late may still take effect.
+# Reads of the table for a change whose reply was lost. With the pause they span an outage of 1.5 s;
+# a longer one ends with EDIT_UNKNOWN.
+MAX_SETTLE_READS = 5
+# Pause before each of these reads: a delayed write may still take effect.
 SETTLE_PAUSE_S = 0.3
-# Length of a lease for orders. It bounds how long a dead holder keeps others out, and leaves 5 s to
-# send after the margin that orders.py takes off.
+# Duration of a lease for orders. It bounds how long a dead holder blocks other nodes, and leaves
+# 5 s to send an order besides the margin of orders.py.
 ORDER_LEASE_S = 10.0
 
 
@@ -53,7 +52,12 @@
     """The platform's table service."""
 
     def __init__(self, address: str, client: AsyncHTTPClient, wall_clock: Callable[[], float]):
-        """Keep the service's address, an HTTP client, and seconds since 1970 for leases."""
+        """Store the dependencies.
+
+        Args:
+          address: IP number:port of the service.
+          wall_clock: Seconds since 1970, for leases.
+        """
         self._url = f"http://{address}"
         self._client = client
         self._wall_clock = wall_clock
@@ -69,7 +73,7 @@
         return scanned.map(to_snapshot)
 
     async def changes(self, after: int, limit: int) -> Result[list[Change], Problem]:
-        """Return the changes that follow a version, oldest first."""
+        """Return at most limit changes that follow a version, oldest first."""
         request = {"prefixes": [AUDIT], "start": audit_key(after + 1), "limit": limit}
         scanned = await self._post("/scan", request, READ_TIMEOUT_S)
         return scanned.map(
@@ -90,8 +94,8 @@
     async def commit(self, change: Change) -> Result[None, Problem]:
         """Write rows, version and audit record in one transaction.
 
-        It is conditional on the version before and on the change id being new, so it takes effect
-        once at most. Returns MOVED_ON if another change came first.
+        It is conditional on the preceding version and on the change id being new, so it takes
+        effect at most once. Returns MOVED_ON if another change was committed first.
         """
         match await self._row(VERSION):
             case Failure(problem):
@@ -109,20 +113,20 @@
                 return await self._settle(change)
 
     async def claim(self, request_id: str, node: str) -> Result[str, Problem]:
-        """Return the node that claimed an id without a home first; this one, if none did before."""
+        """Claim an id that names no home for a node; return the node whose claim was first."""
         key = CLAIMS + request_id
         match await self._transact({key: 0}, {key: node}):
             case Success(True):
                 return Success(node)
-        # Refused, or the reply was lost: the row says who has the claim in both cases.
+        # Refused, or the reply was lost: in both cases the row has the holder of the claim.
         row = await self._row(key)
-        return row.bind(_claimed)
+        return row.bind(_claim_holder)
 
     async def take_lease(self, endpoint: str, holder: str) -> Result[OrderLease, Problem]:
-        """Take or renew the lease for orders to an endpoint.
+        """Acquire or renew the lease for orders to an endpoint.
 
-        The epoch grows with each change of holder. The lease counts from before the write. If the
-        reply is lost, the lease counts as not taken; should it be, it ends by itself.
+        The epoch is incremented at each change of holder. The lease runs from before the write. If
+        the reply is lost, the lease counts as not acquired; if it was, it expires by itself.
         """
         key = LEASES + endpoint
         match await self._row(key):
@@ -146,17 +150,17 @@
                 return Failure(problem)
 
     async def _conflict_or_done(self, change: Change) -> Result[None, Problem]:
-        """Return success for a change accepted before, MOVED_ON for one that is too late."""
+        """Return success if the change was accepted before, MOVED_ON if another one preceded it."""
         found = await self.find_change(change.change_id)
         return found.bind(_accepted_or_conflict)
 
     async def _settle(self, change: Change) -> Result[None, Problem]:
-        """Find out by reading whether a transaction whose reply was lost took effect.
+        """Determine by reading whether a transaction whose reply was lost took effect.
 
-        A change that is not found may still take effect late. Only a version as high as its own
-        rules that out, since its write is conditional on the version before.
+        A change that is not found may still take effect later. Only a version as high as its own
+        rules that out, since its write is conditional on the preceding version.
         """
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_SETTLE_READS):
             await asyncio.sleep(SETTLE_PAUSE_S)
             match await self.find_change(change.change_id):
                 case Success(None):
@@ -168,7 +172,7 @@
         return Failure(Problem(Code.EDIT_UNKNOWN, "the table did not answer", change.change_id))
 
     async def _row(self, key: str) -> Result[StoredRow, Problem]:
-        """Return one row."""
+        """Return one row; it has version 0 if it does not exist."""
         read = await self._post("/row", {"key": key}, READ_TIMEOUT_S)
         return read.map(lambda found: StoredRow(**found))
 
@@ -184,7 +188,7 @@
         return await fetch_json(self._client, self._url + path, orjson.dumps(request), timeout_s)
 
 
-def _claimed(row: StoredRow) -> Result[str, Problem]:
+def _claim_holder(row: StoredRow) -> Result[str, Problem]:
     if row.version:
         return Success(row.value)
     return Failure(Problem(Code.TABLE_UNAVAILABLE, retry_after_s=RETRY_AFTER_S))
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/endpoint_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/endpoint_http.py
@@ -1,6 +1,6 @@
-"""What the adapters of all endpoints share: the HTTP client, and what a failed call proves.
+"""Shared by the adapters of all endpoints: the HTTP client, and classification of failed calls.
 
-An endpoint turns a job away before it starts with status 429 or 503 and the header
+An endpoint refuses a job before it starts with status 429 or 503 and the header
 ``Engine-Admitted: no``. Only that answer, or a connection that was never made, proves that the job
 did not start.
 """
@@ -15,25 +15,25 @@
 from tornado.netutil import Resolver
 from tornado.simple_httpclient import HTTPTimeoutError
 
-# Longest wait for a connection. Running out proves that the job did not start, so another endpoint
-# may get it.
+# Timeout for connecting. Its expiry proves that the job did not start, so another endpoint may get
+# the job.
 CONNECT_TIMEOUT_S = 1.0
-# Requests that the HTTP client runs at a time. The schedulers limit what is sent to endpoints, so
-# this stays above what a node is granted: 580 streams at the planned size (docs/CAPACITY.md).
+# Concurrent requests of the HTTP client. The schedulers limit what is sent to endpoints, so this
+# stays above what a node is granted: 580 streams at the planned size (docs/CAPACITY.md).
 MAX_CLIENTS = 5000
-# Largest answer in bytes that the HTTP client takes. A stream is not kept by the client, so this
-# must only lie above any answer.
+# Largest answer in bytes that the HTTP client accepts. The client doesn't buffer streams, so this
+# only has to exceed any answer.
 MAX_ANSWER_BYTES = 1 << 30
 ADMITTED_HEADER = "Engine-Admitted"
 
 
 class NumericResolver(Resolver):
-    """Resolves IP numbers only, without the thread that a look-up by name takes."""
+    """Accepts IP numbers only, which avoids the thread that a name look-up needs."""
 
     async def resolve(
         self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
     ) -> list[tuple[int, tuple[str, int]]]:
-        """Return the address as it is."""
+        """Return host and port unchanged, as an IPv4 address."""
         return [(socket.AF_INET, (host, port))]
 
 
@@ -52,8 +52,8 @@
     return f"http://{endpoint.address}{path}"
 
 
-def failure_of(fetch: "asyncio.Future") -> Exception | None:
-    """Return what a finished fetch means for the job, None for success."""
+def fetch_error(fetch: "asyncio.Future") -> Exception | None:
+    """Return the error that a finished fetch stands for, None for success."""
     if fetch.cancelled():
         return EndpointError("cancelled")
     exc = fetch.exception()
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/model_client.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/model_client.py
@@ -1,7 +1,7 @@
 """Adapter for model engines, over HTTP.
 
-An engine streams server-sent events whose chunks carry the request id and the offset. It can be
-asked for a stream again by id, and it takes cancellations and orders.
+An engine streams server-sent events; each chunk has the request id and its offset in tokens. A
+stream can be resumed by id, and an engine accepts cancellations and orders.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 
 from springbridge_node.class_router.endpoints.endpoint_http import (
     CONNECT_TIMEOUT_S,
-    failure_of,
+    fetch_error,
     url_of,
 )
 
-# Longest stream, since the HTTP client needs some bound. The runner gives a silent stream up far
+# Longest stream, since the HTTP client needs some bound. The runner abandons a stalled stream far
 # earlier, but its connection stays open until the engine sends something or this time is over.
-LONGEST_ANSWER_S = 4 * 3600.0
-# Longest wait for what an endpoint answers at once: cancellations, load reports, orders.
+MAX_STREAM_S = 4 * 3600.0
+# Timeout for calls that an endpoint answers at once: cancellations, load reports, orders.
 SHORT_TIMEOUT_S = 2.0
 DATA = b"data: "
 DONE = b"[DONE]"
@@ -31,26 +31,26 @@
 
 @dataclass(frozen=True)
 class OrderReply:
-    """An engine's answer to an order: whether it took it, and its text."""
+    """An engine's answer to an order: whether it accepted the order, and the text of the answer."""
 
-    taken: bool
+    accepted: bool
     text: str
 
 
-class _Events:
-    """Turns the pieces of an HTTP body into chunks and hands them to one reader."""
+class _ChunkQueue:
+    """Parses an HTTP body as it arrives into chunks and queues them for one reader."""
 
     def __init__(self) -> None:
         self.queue: asyncio.Queue[list[Chunk] | Exception | None] = asyncio.Queue()
         self.closed = False
-        self._rest = b""
+        self._partial_line = b""
 
     def feed(self, data: bytes) -> None:
-        """Take in a piece of the body; raising here makes the client close the connection."""
+        """Parse the next bytes of the body; raising here makes the client close the connection."""
         if self.closed:
             raise ConnectionAbortedError("the reader went away")
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._partial_line + data).split(b"\n")
+        self._partial_line = lines.pop()
         try:
             chunks = [_read_event(line) for line in lines if _is_chunk(line)]
         except (ValueError, KeyError, TypeError) as exc:
@@ -73,7 +73,7 @@
     """Client of a model engine."""
 
     def __init__(self, client: AsyncHTTPClient):
-        """Keep the HTTP client."""
+        """Store the HTTP client that all adapters share."""
         self._client = client
 
     def run(self, endpoint: Endpoint, job: Job) -> AsyncIterator[Chunk]:
@@ -90,7 +90,7 @@
         return self._stream(HTTPRequest(url_of(endpoint, "/v1/generate"), method="POST", body=body))
 
     def resume(self, endpoint: Endpoint, request_id: str, offset: int) -> AsyncIterator[Chunk]:
-        """Yield the chunks of a job that the endpoint already has."""
+        """Yield the chunks of a job that the endpoint already has, from an offset in tokens on."""
         path = f"/v1/streams/{request_id}?offset={offset}"
         return self._stream(HTTPRequest(url_of(endpoint, path)))
 
@@ -105,7 +105,7 @@
         await self._client.fetch(request, raise_error=False)
 
     async def reported_load(self, endpoint: Endpoint) -> float:
-        """Return the endpoint's load report, which lags."""
+        """Return the load that the endpoint reports, which lags."""
         request = HTTPRequest(url_of(endpoint, "/v1/load"), request_timeout=SHORT_TIMEOUT_S)
         response = await self._client.fetch(request)
         return float(orjson.loads(response.body)["load"])
@@ -113,10 +113,10 @@
     async def order(
         self, endpoint: Endpoint, kind: OrderKind, argument: str, lease: OrderLease
     ) -> OrderReply:
-        """Give an order under a lease.
+        """Send an order with the epoch of its lease.
 
         Raises:
-          HTTPClientError, OSError: The engine did not answer; the order may have been taken.
+          HTTPClientError, OSError: The engine did not answer; it may have accepted the order.
         """
         body = orjson.dumps({"order": kind.value, "argument": argument, "epoch": lease.epoch})
         request = HTTPRequest(
@@ -131,22 +131,23 @@
     async def _stream(self, request: HTTPRequest) -> AsyncIterator[Chunk]:
         """Send a request and yield the chunks of its answer.
 
-        When the reader goes away, the next piece that arrives closes the connection (_Events.feed).
+        When the reader has stopped, the next bytes that arrive close the connection
+        (_ChunkQueue.feed).
         """
-        events = _Events()
+        events = _ChunkQueue()
         request.streaming_callback = events.feed
         request.connect_timeout = CONNECT_TIMEOUT_S
-        request.request_timeout = LONGEST_ANSWER_S
+        request.request_timeout = MAX_STREAM_S
         fetch = asyncio.ensure_future(self._client.fetch(request))
-        fetch.add_done_callback(lambda done: events.queue.put_nowait(failure_of(done)))
+        fetch.add_done_callback(lambda done: events.queue.put_nowait(fetch_error(done)))
         try:
             while True:
-                found = await events.queue.get()
-                if found is None:
+                queued = await events.queue.get()
+                if queued is None:
                     return
-                if isinstance(found, Exception):
-                    raise found
-                for chunk in found:
+                if isinstance(queued, Exception):
+                    raise queued
+                for chunk in queued:
                     yield chunk
         finally:
             events.closed = True
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/policies.py
@@ -1,4 +1,7 @@
-"""The scheduling policies that the settings can name."""
+"""Slot sources for the scheduling policies that can be set by the setting policy.
+
+Two of them, round robin and least load, are baselines for comparison.
+"""
 
 from springbridge.classes.ports import SlotSource
 from springbridge.classes.slots.baselines import LeastLoadSlots, RoundRobinSlots
@@ -8,8 +11,8 @@
 from springbridge_node.class_router.serve_settings import Policy
 
 
-def slot_source(policy: str, scheduled: SlotClient, reports: LoadReports) -> SlotSource:
-    """Return the source of slots for a policy; the two baselines are for comparison."""
+def slot_source_for(policy: str, scheduled: SlotClient, reports: LoadReports) -> SlotSource:
+    """Return the slot source for a policy; round robin and least load are baselines."""
     if policy == Policy.ROUND_ROBIN:
         return RoundRobinSlots()
     if policy == Policy.LEAST_LOAD:
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
@@ -1,7 +1,7 @@
-"""The schedulers that run on this node: one for each endpoint that it owns by hash.
+"""Runs the endpoint schedulers of this node: one for each endpoint that it owns by rendezvous hash.
 
-Owns the schedulers and which endpoint an ask is for. The decisions are the library's
-(springbridge.classes.slots.scheduler); this module carries messages to them and back.
+Owns the schedulers and the map from ask ids to endpoints. The scheduling decisions are made in
+springbridge.classes.slots.scheduler; this module delivers messages to it and sends its decisions.
 """
 
 from collections.abc import Callable
@@ -12,12 +12,12 @@
 from springbridge.classes.invariants import Invariants
 from springbridge.classes.slots.scheduler import EndpointScheduler
 
-# Interval of the node's one timer.
-TICK_S = 0.1
+# Interval of the timer that drives all periodic work of a node.
+TICK_INTERVAL_S = 0.1
 
 
 class SchedulerHost:
-    """Hands the messages of entry nodes to the schedulers, and sends their decisions back."""
+    """Delivers messages of entry nodes to the schedulers, and sends the decisions back."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         table: Callable[[], Table],
         send: Callable[[str, Decision], None],
     ):
-        """Start with no scheduler; each is made at the first ask for its endpoint."""
+        """Start without schedulers; each is created at the first ask for its endpoint."""
         self._me = me
         self._clock = clock
         self._invariants = invariants
@@ -36,56 +36,56 @@
         self.schedulers: dict[str, EndpointScheduler] = {}
         self._endpoint_of: dict[str, str] = {}
 
-    def take(self, message: Ask | Hold | Inventory | Release | Sample) -> None:
-        """Take in a message from an entry node."""
-        self._take(message)
+    def handle(self, message: Ask | Hold | Inventory | Release | Sample) -> None:
+        """Handle a message from an entry node."""
+        self._handle(message)
 
     @singledispatchmethod
-    def _take(self, message: object) -> None:
+    def _handle(self, message: object) -> None:
         raise TypeError(f"unknown message {message!r}")
 
-    @_take.register
+    @_handle.register
     def _(self, ask: Ask) -> None:
         scheduler = self._scheduler(ask.endpoint)
         if scheduler is not None:
             self._endpoint_of[ask.ask_id] = ask.endpoint
-            self._carry(scheduler.ask(ask))
+            self._send_decisions(scheduler.ask(ask))
 
-    @_take.register
+    @_handle.register
     def _(self, hold: Hold) -> None:
         scheduler = self._scheduler(hold.ask.endpoint)
         if scheduler is not None:
             self._endpoint_of[hold.ask.ask_id] = hold.ask.endpoint
             scheduler.hold(hold.ask)
 
-    @_take.register
+    @_handle.register
     def _(self, inventory: Inventory) -> None:
         for scheduler in self.schedulers.values():
-            self._carry(scheduler.take_inventory(inventory))
+            self._send_decisions(scheduler.take_inventory(inventory))
 
-    @_take.register
+    @_handle.register
     def _(self, release: Release) -> None:
         scheduler = self.schedulers.get(self._endpoint_of.pop(release.ask_id, ""))
         if scheduler is not None:
-            self._carry(scheduler.release(release))
+            self._send_decisions(scheduler.release(release))
 
-    @_take.register
+    @_handle.register
     def _(self, sample: Sample) -> None:
         scheduler = self.schedulers.get(self._endpoint_of.get(sample.ask_id, ""))
         if scheduler is not None:
             scheduler.sample(sample)
 
     def tick(self) -> None:
-        """Let time pass for all schedulers; called every TICK_S."""
+        """Run the time-driven work of all schedulers; called every TICK_INTERVAL_S."""
         for scheduler in self.schedulers.values():
-            self._carry(scheduler.tick())
+            self._send_decisions(scheduler.tick())
 
     def drop_nodes(self, gone: Callable[[str], bool]) -> None:
-        """Forget the asks and slots of entry nodes that are gone."""
+        """Drop the asks and slots of entry nodes for which gone returns true."""
         for scheduler in self.schedulers.values():
             for node in scheduler.nodes():
                 if gone(node):
-                    self._carry(scheduler.drop_node(node))
+                    self._send_decisions(scheduler.drop_node(node))
 
     def keep_only(self, owned: Callable[[str], bool]) -> None:
         """Drop idle schedulers of endpoints that this node no longer owns or knows."""
@@ -112,7 +112,7 @@
         self.schedulers[endpoint] = found
         return found
 
-    def _carry(self, decisions: list[Decision]) -> None:
-        """Send decisions to their entry nodes."""
+    def _send_decisions(self, decisions: list[Decision]) -> None:
+        """Send each decision to the entry node that it is for."""
         for decision in decisions:
             self._send(decision.node, decision)
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_roles.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_roles.py
@@ -1,6 +1,7 @@
-"""Which node schedules each endpoint.
+"""Assigns each endpoint to the node that schedules it.
 
-Rendezvous hashing gives each node the same answer from the live members, so no message is needed.
+By rendezvous hashing over the live members each node computes the same assignment, so no message
+is needed.
 """
 
 from collections.abc import Callable
@@ -12,15 +13,15 @@
 
 
 class SchedulerRoles:
-    """The scheduling node of each endpoint, as of the last check of the members."""
+    """The scheduling node of each endpoint, as of the last check()."""
 
     def __init__(
         self, config: ConfigSync, membership: Membership, changed: Callable[[], None]
     ) -> None:
-        """Keep the parts.
+        """Start without assignments.
 
         Args:
-          changed: Called when an endpoint's scheduler has changed.
+          changed: Called when the scheduling node of any endpoint has changed.
         """
         self._config = config
         self._membership = membership
@@ -33,7 +34,7 @@
         return self._roles.get(endpoint)
 
     def check(self) -> None:
-        """Hash again if members or table changed, and report a change of any scheduler."""
+        """Reassign if the members or the table changed; call changed if any assignment differs."""
         live = tuple(sorted(self._membership.incarnations()))
         version = self._config.table.version
         if (version, live) == self._roles_from:
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/service_client.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/service_client.py
@@ -1,4 +1,4 @@
-"""Adapter for plain services, over HTTP: they answer in one piece and keep nothing."""
+"""Adapter for plain services, over HTTP: they answer in one piece and can't resume an answer."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,7 +10,7 @@
 
 from springbridge_node.class_router.endpoints.endpoint_http import (
     CONNECT_TIMEOUT_S,
-    failure_of,
+    fetch_error,
     url_of,
 )
 from springbridge_node.class_router.requests.progress import SERVICE_STALL_S
@@ -19,14 +19,14 @@
 
 
 class ServiceClient:
-    """Client of a plain service; its whole answer is one chunk."""
+    """Client of a plain service; its complete answer is one chunk."""
 
     def __init__(self, client: AsyncHTTPClient):
-        """Keep the HTTP client."""
+        """Store the HTTP client that all adapters share."""
         self._client = client
 
     async def run(self, endpoint: Endpoint, job: Job) -> AsyncIterator[Chunk]:
-        """Call the service and yield its answer."""
+        """Call the service and yield its answer as one chunk."""
         request = HTTPRequest(
             url_of(endpoint, job.path),
             method="POST",
@@ -37,7 +37,7 @@
         )
         fetch = asyncio.ensure_future(self._client.fetch(request))
         await asyncio.wait([fetch])
-        failure = failure_of(fetch)
+        failure = fetch_error(fetch)
         if failure is not None:
             raise failure
         response = fetch.result()
@@ -52,4 +52,4 @@
         yield  # Makes this an asynchronous generator.
 
     async def cancel(self, endpoint: Endpoint, request_id: str) -> None:
-        """Do nothing: a plain service cannot be stopped."""
+        """Do nothing: a call to a plain service cannot be cancelled."""
--- a/packages/springbridge-node/springbridge_node/class_router/main.py
+++ b/packages/springbridge-node/springbridge_node/class_router/main.py
@@ -18,12 +18,12 @@
 )
 
 PREFIX = "SPRINGBRIDGE_"
-# Default of the largest request body, in bytes.
+# Default of the limit on a request body.
 DEFAULT_MAX_BODY_BYTES = 4_000_000
 # Default time for a sender to finish its body.
 DEFAULT_BODY_TIMEOUT_S = 10.0
-# Default time for which callers keep addresses. A planned stop lasts at least this long, and a lost
-# node is in the answers of callers for up to this long.
+# Default time for which callers cache addresses. A planned stop lasts at least this long, and
+# callers may use the address of a lost node for up to this long.
 DEFAULT_KEEP_ADDRESSES_S = 2.0
 
 
@@ -94,7 +94,7 @@
 
 
 async def _run(settings: Settings) -> None:
-    """Run a node; it is imported here so that --help and --version stay quick."""
+    """Run a node; the import is local so that --help and --version stay fast."""
     from springbridge_node.class_router.assembly import make_node
 
     await make_node(settings).run()
--- a/packages/springbridge-node/springbridge_node/class_router/metrics.py
+++ b/packages/springbridge-node/springbridge_node/class_router/metrics.py
@@ -8,7 +8,7 @@
 
 
 class Metrics(Protocol):
-    """Where the node's counts and durations go."""
+    """Recorder of counts and durations."""
 
     def incr(self, stat: str, count: int = 1) -> None:
         """Count an event."""
@@ -18,7 +18,7 @@
 
 
 class NoMetrics:
-    """Metrics that go nowhere, when no statsd address is set."""
+    """Discards metrics; used if no statsd address is set."""
 
     def incr(self, stat: str, count: int = 1) -> None:
         """Do nothing."""
@@ -28,7 +28,7 @@
 
 
 def connect(address: str) -> Metrics:
-    """Return metrics that go to a statsd address (UDP), or nowhere if it is empty."""
+    """Return a recorder that sends to a statsd address over UDP, or discards if it is empty."""
     if not address:
         return NoMetrics()
     host, _, port = address.rpartition(":")
--- a/packages/springbridge-node/springbridge_node/class_router/node_parts.py
+++ b/packages/springbridge-node/springbridge_node/class_router/node_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a running node, as its HTTP handlers see them, and when it takes requests."""
+"""The parts of a running node that its HTTP handlers use, and its readiness."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -14,20 +14,20 @@
 from springbridge_node.class_router.requests.limit_gate import LimitGate
 from springbridge_node.class_router.serve_settings import Settings
 
-# When a caller may come back to a node that is leaving or not fresh. The answer names other nodes,
-# so this only matters where there are none.
+# Retry-After of a node that is leaving or whose table is stale. The answer names other nodes, so
+# this only matters if there are none.
 CLOSED_RETRY_S = 0.5
 
 
 @dataclass
 class NodeParts:
-    """The parts of a node.
+    """The parts of a node, and the state of its planned stop.
 
     Attributes:
       clock: Monotonic time in seconds.
-      refusing: Whether new requests are refused: the planned stop has waited until callers had
-        time to learn other addresses.
-      running: Requests that are being answered.
+      refusing: Whether new requests are refused. A planned stop sets it once callers had time to
+        learn other addresses.
+      running: Number of requests in flight.
     """
 
     settings: Settings
@@ -40,12 +40,12 @@
     refusing: bool = False
     running: int = 0
 
-    def closed(self) -> Problem | None:
-        """Decide on readiness: return why new requests are refused, or None.
+    def refusal_reason(self) -> Problem | None:
+        """Return why new requests are refused, or None if the node is ready.
 
-        Inputs: whether a planned stop refuses already, and whether the table in force is fresh
-        enough (springbridge.classes.table.freshness).
-        Outcome: NODE_LEAVING or CONFIG_NOT_FRESH with a time to come back, or None.
+        Inputs: whether a planned stop already refuses requests, and whether the table in force is
+        fresh enough (springbridge.classes.table.freshness).
+        Outcome: NODE_LEAVING or CONFIG_NOT_FRESH with a time to retry after, or None.
         """
         if self.refusing:
             return Problem(Code.NODE_LEAVING, retry_after_s=CLOSED_RETRY_S)
--- a/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
+++ b/packages/springbridge-node/springbridge_node/class_router/operators/operators_http.py
@@ -1,4 +1,4 @@
-"""Operators' interface of a node: the table, its history, orders and the node's state."""
+"""HTTP interface for operators: the table, its audit trail, orders to endpoints, node status."""
 
 import hmac
 from dataclasses import dataclass
@@ -23,14 +23,14 @@
 from springbridge_node.class_router.peers.peer_links import PeerLinks
 
 TOKEN_HEADER = "Springbridge-Operator-Token"
-# Changes in one answer of the audit trail; `after` asks for the next. Bounds the scan of the
+# Most changes in one answer of the audit trail; `after` requests the next. Bounds the scan of the
 # platform's table.
 AUDIT_LIMIT = 1000
 
 
 @dataclass(frozen=True)
 class OperatorParts:
-    """What the operators' handlers need."""
+    """Dependencies of the operators' handlers."""
 
     node: NodeParts
     store: TableStore
@@ -42,12 +42,12 @@
 
 
 class OperatorHandler(RequestHandler):
-    """What all handlers of operators share: the token, and answers to problems."""
+    """Base of the handlers for operators: checks the token and answers problems."""
 
     parts: OperatorParts
 
     def initialize(self, parts: OperatorParts) -> None:
-        """Keep the node's parts."""
+        """Store the dependencies."""
         self.parts = parts
 
     def prepare(self) -> None:
@@ -69,7 +69,7 @@
         self.finish(orjson.dumps(body))
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answer a fault of this program without a traceback."""
+        """Answer an internal error without a traceback."""
         self.refuse([Problem(Code.INTERNAL)])
 
     def log_exception(self, kind, value, trace) -> None:
@@ -117,10 +117,10 @@
 
 
 class OrderHandler(OperatorHandler):
-    """Gives an order to an endpoint."""
+    """Sends orders to endpoints."""
 
     async def post(self) -> None:
-        """Give the order and answer with the epoch under which it was taken."""
+        """Send the order and answer with the lease epoch under which it was accepted."""
         try:
             raw = orjson.loads(self.request.body)
             kind = OrderKind(raw["order"])
@@ -137,14 +137,14 @@
 
 
 class StatusHandler(OperatorHandler):
-    """Shows the node's state."""
+    """Shows the node's status."""
 
     def get(self) -> None:
         """Answer with members, version, schedulers, invariants and counts."""
         parts = self.parts
         node = parts.node
         sent = parts.links.sent()
-        closed = node.closed()
+        closed = node.refusal_reason()
         self.reply(
             {
                 "me": _member_row(node.membership.me),
@@ -167,7 +167,7 @@
 
 
 def _scheduler_row(endpoint: str, scheduler: EndpointScheduler) -> dict[str, object]:
-    """Return the scheduler of an endpoint as the status shows it."""
+    """Return the status of an endpoint's scheduler."""
     return {
         "engine": endpoint,
         "limits": [round(limit.limit, 2) for limit in scheduler.limits.tiers.values()],
@@ -178,7 +178,7 @@
 
 
 def _member_row(member: Member) -> dict[str, object]:
-    """Return a member as the status shows it; operators' tools know some fields by older names."""
+    """Return the status of a member; operators' tools use older names of some fields."""
     return {
         "incarnation": member.incarnation,
         "instance": member.instance,
--- a/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/message_intake.py
@@ -1,4 +1,4 @@
-"""Dispatch: which part of the node each message goes to."""
+"""Dispatches messages of peers to the parts of the node that handle them."""
 
 from dataclasses import dataclass
 from functools import singledispatchmethod
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class IntakeParts:
-    """The parts that messages are for."""
+    """The parts that handle messages."""
 
     hosts: SchedulerHost
     slots: SlotClient
@@ -50,53 +50,53 @@
     """Dispatches by the type of the message."""
 
     def __init__(self, parts: IntakeParts) -> None:
-        """Keep the parts."""
+        """Store the handling parts."""
         self._parts = parts
 
-    def take(self, message: Message) -> None:
-        """Hand over a message from a peer or from this node itself."""
-        self._take(message)
+    def dispatch(self, message: Message) -> None:
+        """Pass on a message, from a peer or from this node itself, to the part that handles it."""
+        self._dispatch(message)
 
     @singledispatchmethod
-    def _take(self, message: object) -> None:
+    def _dispatch(self, message: object) -> None:
         raise TypeError(f"unknown message {type(message).__name__}")
 
-    @_take.register
+    @_dispatch.register
     def _(self, message: Ask | Hold | Inventory | Release | Sample) -> None:
-        self._parts.hosts.take(message)
+        self._parts.hosts.handle(message)
 
-    @_take.register
+    @_dispatch.register
     def _(self, message: Grant | Queued | Refusal | Preemption) -> None:
         self._parts.slots.take(message)
 
-    @_take.register
+    @_dispatch.register
     def _(self, digest: Digest) -> None:
         self._parts.membership.merge(digest.members)
-        self._parts.config.compare_with_peers()
+        self._parts.config.pull_from_peers()
 
-    @_take.register
+    @_dispatch.register
     def _(self, pull: ConfigPull) -> None:
         self._parts.config.answer_pull(pull)
 
-    @_take.register
+    @_dispatch.register
     def _(self, delta: ConfigDelta) -> None:
-        self._parts.config.take_delta(delta)
+        self._parts.config.apply_delta(delta)
 
-    @_take.register
+    @_dispatch.register
     def _(self, ask: LeaseAsk) -> None:
         self._parts.limits.grant_lease(ask)
 
-    @_take.register
+    @_dispatch.register
     def _(self, lease: Lease) -> None:
-        self._parts.limits.take_lease(lease)
+        self._parts.limits.apply_lease(lease)
 
-    @_take.register
-    def _(self, ask: HandOver) -> None:
-        # An id that does not parse gets no answer; the asker then finds the outcome unknown.
-        match request_ids.parse(ask.request_id):
+    @_dispatch.register
+    def _(self, query: HandOver) -> None:
+        # An id that does not parse gets no reply; the querying node ends with OUTCOME_UNKNOWN.
+        match request_ids.parse(query.request_id):
             case Success(request_id):
-                self._parts.lookup.answer_hand_over(ask, request_id)
+                self._parts.lookup.answer_hand_over(query, request_id)
 
-    @_take.register
+    @_dispatch.register
     def _(self, reply: HandOverReply) -> None:
-        self._parts.lookup.take_reply(reply)
+        self._parts.lookup.complete_query(reply)
--- a/packages/springbridge-node/springbridge_node/class_router/peers/messages.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: those that the library has no record for, and the union of all."""
+"""Messages between nodes: records that the library does not define, and the union of all types."""
 
 from dataclasses import dataclass
 
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True)
 class Digest:
-    """Members as the sender knows them; gossip keeps the number bounded."""
+    """Some of the members as the sender knows them; gossip bounds their number."""
 
     members: tuple[Member, ...]
 
 
 @dataclass(frozen=True)
 class ConfigPull:
-    """A node asks for the changes after the version it has."""
+    """Requests the changes of the table after the version that the sending node has."""
 
     node: str
     after: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class ConfigDelta:
-    """Encoded changes in order, or an encoded snapshot where the asker is too far behind."""
+    """Encoded changes in order, or an encoded snapshot if the requesting node lags too far."""
 
     changes: tuple[bytes, ...]
     snapshot: bytes
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True)
 class HandOver:
-    """A node that got a retry asks the request's home what became of it.
+    """Query to a request's home for the request's state, from a node that received a retry.
 
     Attributes:
-      call_id: Names this question; the reply repeats it.
-      node: Incarnation that asks.
-      home: Incarnation that is asked; another one at the same address does not answer.
+      call_id: Identifies this query; the reply repeats it.
+      node: Incarnation that sends the query.
+      home: Incarnation that is queried; another one at the same address does not answer.
       owner: Customer and class of the caller.
     """
 
@@ -61,11 +61,11 @@
 
 @dataclass(frozen=True)
 class HandOverReply:
-    """The home's reply.
+    """The home's reply to a HandOver.
 
     Attributes:
-      stage: How far the request has come, a number of springbridge.classes.binding.Stage.
-      moved_to: Incarnation that is the home now, in stage MOVED; else empty.
+      stage: Stage of the request, a number of springbridge.classes.binding.Stage.
+      moved_to: Incarnation that is the new home, in stage MOVED; else empty.
       code: Why the home refused the request, in stage REFUSED; else OK.
     """
 
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_codec.py
@@ -1,7 +1,7 @@
-"""Translates between the records of messages and protobuf.
+"""Converts the records of messages to protobuf and back.
 
-A protobuf message has the fields of its record, so none is written out by hand. Types and fields
-whose names on the wire differ from the code's are listed below.
+A protobuf message has the same fields as its record, so the conversion is derived from the records.
+Types and fields whose names on the wire differ from those in the code are listed below.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,7 +12,7 @@
 from springbridge_node.class_router.peers.messages import Message
 from springbridge_node.class_router.peers.proto import peer_pb2
 
-# Names in peer.proto, which are older, by the names that types and fields have in the code.
+# Older names of types and fields that peer.proto keeps, by their names in the code.
 WIRE_TYPES = {"SnapshotStatus": "ListingSeen"}
 WIRE_FIELDS = {
     "failure_domain": "place",
@@ -39,13 +39,13 @@
 
 
 def decode(envelope: peer_pb2.Envelope) -> list[Message]:
-    """Return the messages of an envelope; kinds that only newer nodes know are left out."""
-    found = []
+    """Return the messages of an envelope; types that only newer nodes know are skipped."""
+    decoded = []
     for item in envelope.items:
         name = item.WhichOneof("kind")
         if name is not None:
-            found.append(_from_pb(TYPES[name], getattr(item, name)))
-    return found
+            decoded.append(_from_pb(TYPES[name], getattr(item, name)))
+    return decoded
 
 
 def _to_pb(record: Any) -> Any:
@@ -85,7 +85,7 @@
 
 @cache
 def _readers(kind: type) -> tuple[tuple[str, Callable[[Any], Any]], ...]:
-    """Return for each field how its value is read back."""
+    """Return each field's name with the function that decodes its value."""
     hints = get_type_hints(kind)
     return tuple((name, _reader(hints[name])) for name in _names(kind))
 
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links.py
@@ -1,7 +1,7 @@
 """Outgoing streams to peers: one task and one long-lived stream for each peer address.
 
-Messages that wait are sent together in one envelope. A stream that breaks is opened again after a
-pause. What was on its way is lost; the senders repeat what they still need.
+Queued messages are sent together in one envelope. A stream that breaks is reopened after a pause.
+Messages in transit are lost; the senders repeat what they still need.
 
 Waits are bounded by asyncio.timeout: before Python 3.12 asyncio.wait_for can lose a cancellation
 that comes just as the awaited call ends, and a link that misses it keeps the node from stopping.
@@ -21,38 +21,38 @@
 from springbridge_node.class_router.peers.proto.peer_grpc import PeerStub
 from springbridge_node.class_router.serve_settings import split
 
-# Messages that wait for a peer that takes none; then the oldest are dropped. Bounds memory: 0.9 MB
+# Messages queued for a peer that accepts none; then the oldest are dropped. Bounds memory: 0.9 MB
 # at the 90 bytes that a message takes on the wire (docs/CAPACITY.md).
 QUEUE_LIMIT = 10_000
-# Mean pause before a broken stream is opened again, drawn from half to one and a half of it so that
-# nodes do not come back in step. Below the 0.5 s between two digests.
-RECONNECT_S = 0.2
-# A stream that carried nothing for this long is closed. Bounds the open connections of a large
+# Mean pause before a broken stream is reopened, with jitter of half to one and a half of it so that
+# nodes do not reconnect in step. Below the 0.5 s between two digests.
+RECONNECT_PAUSE_S = 0.2
+# A stream on which nothing was sent for this long is closed. Bounds the open connections of a large
 # fleet, where digests go to another random peer each time.
-IDLE_CLOSE_S = 30.0
-# Longest wait for a connection to a peer, below the 2.5 s after which a silent member is suspected.
+IDLE_TIMEOUT_S = 30.0
+# Timeout for connecting to a peer, below the 2.5 s after which a silent member is suspected.
 CONNECT_TIMEOUT_S = 1.0
 TOKEN_KEY = "authorization"
 NODE_KEY = "springbridge-node"
 
 
 @dataclass(frozen=True)
-class Sent:
-    """Messages, and bytes of their envelopes, that were sent to peers."""
+class SentCounts:
+    """Counts of the messages, and bytes of their envelopes, that were sent to peers."""
 
     messages: int
     bytes: int
 
 
 class IdleLinkError(Exception):
-    """A link carried nothing for IDLE_CLOSE_S."""
+    """Nothing was sent on a link for IDLE_TIMEOUT_S."""
 
 
 class PeerLink:
     """The stream to one peer address."""
 
     def __init__(self, address: str, metadata: dict[str, str]):
-        """Keep what is needed to open the stream.
+        """Store address and metadata; the stream is opened by run().
 
         Args:
           metadata: Token and incarnation that are sent with each call.
@@ -70,27 +70,27 @@
         self._waiting.set()
 
     async def run(self, on_open: Callable[[], None], on_break: Callable[[], None]) -> None:
-        """Keep the stream open until cancelled, or idle for IDLE_CLOSE_S."""
+        """Keep the stream open until cancelled, or idle for IDLE_TIMEOUT_S."""
         while True:
             try:
-                await self._talk(on_open)
+                await self._run_stream(on_open)
             except IdleLinkError:
                 return
             except TimeoutError:
-                # No connection within CONNECT_TIMEOUT_S. The link ends with what it had queued, and
-                # the next message opens a new one. The report takes half off the time to suspicion,
-                # as a refused connection does.
+                # No connection within CONNECT_TIMEOUT_S. The link ends and its queue is lost; the
+                # next message opens a new link. on_break halves the time until the peer is
+                # suspected, as for a refused connection.
                 on_break()
                 return
             except Exception:
-                # A peer that is gone breaks its streams in many ways, several times a second. Not
-                # logged here: on_break has the membership suspect it, which the status shows.
+                # Streams to a peer that is gone fail in many ways, several times a second. Not
+                # logged here: on_break makes the membership suspect it, which the status shows.
                 on_break()
                 self._queue.clear()
-            await asyncio.sleep(RECONNECT_S * random.uniform(0.5, 1.5))
+            await asyncio.sleep(RECONNECT_PAUSE_S * random.uniform(0.5, 1.5))
 
-    async def _talk(self, on_open: Callable[[], None]) -> None:
-        """Open one stream and use it until it breaks."""
+    async def _run_stream(self, on_open: Callable[[], None]) -> None:
+        """Open one stream and send queued messages on it until it breaks."""
         async with open_channel(self.address) as channel:
             stub = PeerStub(channel)
             async with stub.Talk.open(metadata=self._metadata) as stream:
@@ -108,7 +108,7 @@
         """Send what is queued until the peer ends the stream or it breaks."""
         while not ended.done():
             try:
-                async with asyncio.timeout(IDLE_CLOSE_S):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     await self._waiting.wait()
             except TimeoutError as exc:
                 raise IdleLinkError from exc
@@ -146,7 +146,7 @@
         on_open: Callable[[str], None],
         on_break: Callable[[str], None],
     ):
-        """Keep what the links need; on_open and on_break get the peer's address."""
+        """Start without links; on_open and on_break are called with the peer's address."""
         self.metadata = metadata
         self._on_open = on_open
         self._on_break = on_break
@@ -154,16 +154,16 @@
         self._tasks: dict[str, asyncio.Task] = {}
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message to a peer address."""
+        """Queue a message for a peer address, on a new link if there is none."""
         link = self._links.get(address)
         if link is None:
             link = self._open(address)
         link.send(message)
 
-    def sent(self) -> Sent:
-        """Return what was sent on the links that are open now."""
+    def sent(self) -> SentCounts:
+        """Return the counts of what was sent on the links that are open now."""
         links = self._links.values()
-        return Sent(
+        return SentCounts(
             sum(link.sent_messages for link in links), sum(link.sent_bytes for link in links)
         )
 
@@ -172,7 +172,7 @@
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
-        # They were cancelled just now, so what they raise is that.
+        # They were just cancelled, so they raise CancelledError.
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _open(self, address: str) -> PeerLink:
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_links_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links_test.py
@@ -64,13 +64,13 @@
 
 
 def test_a_link_that_was_idle_is_not_reported(monkeypatch):
-    monkeypatch.setattr(peer_links, "IDLE_CLOSE_S", 0.05)
+    monkeypatch.setattr(peer_links, "IDLE_TIMEOUT_S", 0.05)
     broken = []
 
     async def scenario():
         link = PeerLink("127.0.0.1:1", {})
         never = asyncio.get_running_loop().create_future()
-        monkeypatch.setattr(link, "_talk", lambda on_open: link._send_all(None, never))
+        monkeypatch.setattr(link, "_run_stream", lambda on_open: link._send_all(None, never))
         await link.run(lambda: None, lambda: broken.append("broken"))
 
     asyncio.run(scenario())
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_server.py
@@ -1,4 +1,4 @@
-"""Server for peers over gRPC: takes in their messages and lets them follow answers."""
+"""Server for peers over gRPC: receives their messages and streams answers for them to relay."""
 
 import hmac
 from collections.abc import Callable
@@ -23,20 +23,25 @@
         incarnation: str,
         token: str,
         answers: KeptAnswers,
-        take: Callable[[Message], None],
+        receive: Callable[[Message], None],
     ):
-        """Keep the secret that all nodes share, and take, which gets each message."""
+        """Store the dependencies.
+
+        Args:
+          token: The secret that all nodes share.
+          receive: Called with each message.
+        """
         self._incarnation = incarnation
         self._token = token
         self._answers = answers
-        self._take = take
+        self._receive = receive
 
     async def Talk(self, stream: Stream) -> None:  # noqa: N802 - the name is the interface's
-        """Take in a peer's messages until it ends the stream."""
+        """Receive a peer's messages until it ends the stream."""
         self._authenticate(stream)
         async for envelope in stream:
             for message in decode(envelope):
-                self._take(message)
+                self._receive(message)
         await stream.send_message(peer_pb2.Ended())
 
     async def Attach(self, stream: Stream) -> None:  # noqa: N802 - the name is the interface's
@@ -59,7 +64,11 @@
         await stream.send_message(last)
 
     def _authenticate(self, stream: Stream) -> None:
-        """End the call unless the caller knows the peers' token."""
+        """Reject the call unless its metadata has the peers' token.
+
+        Raises:
+          GRPCError: UNAUTHENTICATED.
+        """
         given = stream.metadata.get(TOKEN_KEY, "")
         if not hmac.compare_digest(str(given), self._token):
             raise GRPCError(Status.UNAUTHENTICATED, "unknown peer token")
--- a/packages/springbridge-node/springbridge_node/class_router/requests/home_lookup.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/home_lookup.py
@@ -102,7 +102,7 @@
         finally:
             del self._calls[call_id]
 
-    def take_reply(self, reply: HandOverReply) -> None:
+    def complete_query(self, reply: HandOverReply) -> None:
         """Complete the pending query that a reply belongs to; a late reply is dropped."""
         call = self._calls.get(reply.call_id)
         if call is not None and not call.done():
--- a/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/limit_gate.py
@@ -107,7 +107,7 @@
         if share is not None:
             self._send(ask.node, self._owner.lease(ask, share, self._node_count()))
 
-    def take_lease(self, lease: Lease) -> None:
+    def apply_lease(self, lease: Lease) -> None:
         """Apply a lease that the owner granted, and wake the requests that wait for it."""
         key = (lease.customer, lease.request_class)
         limit = self._limits.get(key)
--- a/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
+++ b/packages/springbridge-node/springbridge_node/class_router/serve_settings.py
@@ -9,10 +9,10 @@
 from springbridge.problems import Problem
 
 ADDRESS = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:(\d{1,5})\Z")
-# Fewest characters of a secret. Too long to be guessed over the network.
-SHORTEST_TOKEN = 16
-# Smallest limit of a body that can be set, in bytes.
-SMALLEST_BODY_LIMIT_BYTES = 1024
+# Minimum length of a secret: too long to be guessed over the network.
+MIN_TOKEN_CHARS = 16
+# Minimum of the setting max_body_bytes.
+MIN_BODY_LIMIT_BYTES = 1024
 
 
 class Policy(StrEnum):
@@ -47,28 +47,28 @@
 
 
 def check(settings: Settings) -> list[Problem]:
-    """Return a problem for each setting that cannot be used."""
+    """Return a problem for each invalid setting."""
     problems = []
 
-    def need(holds: bool, name: str, wanted: str) -> None:
+    def require(holds: bool, name: str, wanted: str) -> None:
         if not holds:
             problems.append(Problem(Code.SETTING_INVALID, f"takes {wanted}", f"--{name}"))
 
     names = {"instance": settings.instance, "place": settings.failure_domain}
     for name, value in names.items():
-        need(bool(NAME.match(value)), name, "letters, digits, dot, dash")
+        require(bool(NAME.match(value)), name, "letters, digits, dot, dash")
     for name in ("caller_address", "peer_address", "table_address", "list_address"):
-        need(_is_address(getattr(settings, name)), name.replace("_", "-"), "IP number:port")
+        require(_is_address(getattr(settings, name)), name.replace("_", "-"), "IP number:port")
     if settings.statsd_address:
-        need(_is_address(settings.statsd_address), "statsd-address", "IP number:port")
+        require(_is_address(settings.statsd_address), "statsd-address", "IP number:port")
     for name in ("peer_token", "operator_token"):
-        long_enough = len(getattr(settings, name)) >= SHORTEST_TOKEN
-        need(long_enough, name.replace("_", "-"), f"{SHORTEST_TOKEN} characters or more")
-    need(settings.policy in POLICIES, "policy", "one of " + ", ".join(POLICIES))
-    fits = settings.max_body_bytes >= SMALLEST_BODY_LIMIT_BYTES
-    need(fits, "max-body-bytes", f"{SMALLEST_BODY_LIMIT_BYTES} or more")
-    need(settings.body_timeout_s > 0, "body-timeout-s", "a number above zero")
-    need(settings.keep_addresses_s > 0, "keep-addresses-s", "a number above zero")
+        long_enough = len(getattr(settings, name)) >= MIN_TOKEN_CHARS
+        require(long_enough, name.replace("_", "-"), f"{MIN_TOKEN_CHARS} characters or more")
+    require(settings.policy in POLICIES, "policy", "one of " + ", ".join(POLICIES))
+    fits = settings.max_body_bytes >= MIN_BODY_LIMIT_BYTES
+    require(fits, "max-body-bytes", f"{MIN_BODY_LIMIT_BYTES} or more")
+    require(settings.body_timeout_s > 0, "body-timeout-s", "a number above zero")
+    require(settings.keep_addresses_s > 0, "keep-addresses-s", "a number above zero")
     return problems
 
 
--- a/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
@@ -161,8 +161,8 @@
     Mutant(
         "freshness before serving",
         f"{NODE}/class_router/config/config_sync.py",
-        "            self._decision = may_serve(self.confirmation, now_s, majority, peers)",
-        "            self._decision = self.confirmation.version > 0",
+        "            self._may_serve = may_serve(self.confirmation, now_s, majority, peers)",
+        "            self._may_serve = self.confirmation.version > 0",
         f"{NODE}/class_router/configuration_test.py::test_node_cut_off_from_table_and_peers_stops_serving",
     ),
     Mutant(
