--- a/packages/springbridge-ctl/springbridge_ctl/client.py
+++ b/packages/springbridge-ctl/springbridge_ctl/client.py
@@ -10,8 +10,8 @@
 from tornado.httpclient import HTTPClient, HTTPRequest
 
 TOKEN_HEADER = "Springbridge-Operator-Token"
-# Timeout for a node's answer. Above the 9.5 s that a node may take to settle a commit whose reply was
-# lost (five times 0.3 s pause and two reads of 0.8 s).
+# Timeout for a node's answer. Above the 9.5 s that a node may take to settle a commit whose reply
+# was lost (five times 0.3 s pause and two reads of 0.8 s).
 TIMEOUT_S = 15.0
 
 
@@ -62,7 +62,7 @@
 
 
 def _read_problem(raw: dict[str, Any]) -> Problem:
-    """Return the problem in a node's JSON; its message ends with the code's advice, which is removed."""
+    """Return the problem in a node's JSON; its detail is the message without the code's advice."""
     code = Code(raw["code"])
     detail = raw["message"].removesuffix(Problem(code).info.advice).rstrip(": ")
     return Problem(code, detail, "", raw["retry_after_s"])
--- a/packages/springbridge-ctl/springbridge_ctl/main.py
+++ b/packages/springbridge-ctl/springbridge_ctl/main.py
@@ -1,6 +1,7 @@
 """Command line for operators: ``springbridgectl``.
 
-Each command is sent to one node, which reads and writes the platform's table; no state is kept here.
+Each command is sent to one node, which reads and writes the platform's table. No state is kept
+here.
 """
 
 import secrets
--- a/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
@@ -1,6 +1,6 @@
-"""Proofs by processes: a request that is not repeatable runs at most once, whatever fails.
+"""Tests with node processes: a request that is not repeatable runs at most once under any fault.
 
-The execution counters of the engines and services are the judge.
+Executions are counted by the stand-ins for engines and services.
 """
 
 import asyncio
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("fault", ["kill", "freeze"])
 def test_home_lost_during_a_model_request(run, world, fault):
-    """The retry gets the whole answer by resuming the engine's stream."""
+    """The retry gets the complete answer by resuming the engine's stream."""
 
     async def scenario():
         request_id = await homed_id(world, "node-1")
@@ -144,7 +144,7 @@
 
 
 def test_frozen_home_that_wakes_up_with_the_request_unread(run, world):
-    """The home is frozen before it reads the request; on waking it runs it once or not at all."""
+    """The home is suspended before it reads the request; resumed, it runs it at most once."""
 
     async def scenario():
         request_id = await homed_id(world, "node-1")
@@ -246,7 +246,7 @@
 
 @pytest.mark.parametrize("request_class", ["claim-answers", "item-descriptions"])
 def test_node_that_refuses_a_retry_does_not_say_that_it_was_not_run(run, world, request_class):
-    """Found by the soak, seed 2: it runs at its home, another node refuses it as not fresh."""
+    """It runs at its home, while a node whose table is not fresh refuses it (soak, seed 2)."""
 
     async def scenario():
         request_id = await homed_id(world, "node-1")
--- a/packages/springbridge-node/springbridge_node/class_router/callers_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers_test.py
@@ -1,4 +1,4 @@
-"""Contract tests of the callers' interface: bad input, whole answers, planned stop."""
+"""Contract tests of the HTTP interface for callers: bad input, complete answers, planned stop."""
 
 import asyncio
 import socket
@@ -136,7 +136,7 @@
 
 
 def test_planned_stop_cuts_off_nothing(run, world):
-    """A stream that runs on ends whole, addresses drop the node, new requests are refused."""
+    """A stream in progress completes, addresses omit the node, new requests are refused."""
 
     async def scenario():
         node = world.nodes["node-1"]
--- a/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
@@ -1,4 +1,4 @@
-"""Proofs by processes: an accepted change is in force everywhere and never falls back."""
+"""Tests with node processes: an accepted change takes effect on all nodes and isn't reverted."""
 
 import asyncio
 
@@ -43,10 +43,10 @@
 
 
 def test_racing_operators(run, world):
-    """Many edits of two rows through three nodes at once: one row of audit for each accepted.
+    """Many edits of two rows through three nodes at once: one audit record for each accepted.
 
-    Weights differ from those of the table: an edit to the weight that a row has was accepted once
-    beside the one that won the race.
+    Weights differ from those of the table: an edit to the weight that a row already has could be
+    accepted beside the one that won the race.
     """
 
     async def scenario():
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("fault", ["lose_replies", "late_writes"])
 def test_write_applied_but_reply_lost(run, world, fault):
-    """The change is settled by reading back: accepted once, with one row of audit."""
+    """The outcome is read back: the change is accepted once, with one audit record."""
 
     async def scenario():
         await world.fault(world.platform, **{fault: 1})
@@ -116,7 +116,7 @@
 
 
 def test_table_out_for_all(run, world):
-    """All nodes go on, no change is accepted, and a new node gets the table from its peers."""
+    """All nodes keep serving, no change is accepted, a new node gets the table from its peers."""
 
     async def scenario():
         await world.fault(world.platform, out=True)
@@ -153,7 +153,7 @@
 
 
 def test_node_cut_off_from_table_and_peers_stops_serving(run, world):
-    """With every peer frozen and the table cut, freshness can be confirmed with nobody."""
+    """With every peer suspended and the table cut off, nothing can confirm freshness."""
 
     async def scenario():
         address = free_address()
--- a/packages/springbridge-node/springbridge_node/class_router/conftest.py
+++ b/packages/springbridge-node/springbridge_node/class_router/conftest.py
@@ -39,7 +39,7 @@
 
 
 async def address_of(world: World, name: str, request_class: str = "claim-answers") -> Address:
-    """Return the address that callers are told for a node."""
+    """Return the entry for a node in the addresses that callers get."""
     node = world.nodes[name]
     found = await world.caller.addresses(node.caller_address, KEY, request_class)
     return next(one for one in found if one.address == node.caller_address)
--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/orders_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/orders_test.py
@@ -1,4 +1,4 @@
-"""Tests of orders.py: what an operator is told of an order that no answer came to."""
+"""Tests of orders.py: the result of an order that the endpoint doesn't answer."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -18,21 +18,21 @@
 
 
 class LeasingStore:
-    """A table whose leases are always to be had."""
+    """A table store that grants every lease."""
 
     async def take_lease(self, endpoint, holder):
         """Return a lease."""
         return Success(OrderLease(1, 10.0))
 
 
-async def say_nothing(reader, writer):
-    """Take a request and keep the connection open."""
+async def never_answer(reader, writer):
+    """Read the request and leave the connection open without an answer."""
     await reader.read(-1)
     writer.close()
 
 
 async def close_after_the_request(reader, writer):
-    """Take a request and close the connection without an answer."""
+    """Read the request and close the connection without an answer."""
     await reader.readuntil(b"\r\n\r\n")
     writer.close()
 
@@ -49,9 +49,9 @@
         server.close()
 
 
-@pytest.mark.parametrize("behaviour", [say_nothing, close_after_the_request])
+@pytest.mark.parametrize("behaviour", [never_answer, close_after_the_request])
 def test_an_order_without_an_answer_may_have_been_taken(monkeypatch, behaviour):
-    # The operator was told of an internal fault, which says nothing about the order.
+    # An internal error in its place would tell the operator nothing about the order.
     monkeypatch.setattr(model_client, "SHORT_TIMEOUT_S", 0.2)
 
     async def body():
--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_links_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links_test.py
@@ -1,4 +1,4 @@
-"""Tests of peer_links.py: streams that break or end at any moment."""
+"""Tests of peer_links.py: closing links, and which failures are reported."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 def test_links_to_a_peer_that_is_gone_end_when_closed():
-    """Found by the soak, seed 4: a planned stop hung, as a cancellation got lost in a race."""
+    """A cancellation that is lost while a link connects would hang the planned stop (soak, seed 4)."""
 
     async def scenario():
         ended = 0
@@ -34,7 +34,7 @@
 
 
 class UnansweredChannel:
-    """A channel to a peer behind a cut that drops packets: its connecting never ends."""
+    """A channel to a peer whose packets are dropped: connecting never completes."""
 
     def __init__(self, host, port):
         """Take the peer's address."""
@@ -47,8 +47,8 @@
 
 
 def test_a_peer_that_takes_no_connection_is_reported(monkeypatch):
-    # It was taken for a link that had been idle, so that the peer was suspected after the whole
-    # silence; a refused connection takes half of that off.
+    # If the timeout were treated as an idle link, the peer would be suspected only after the full
+    # time without heartbeats; a refused connection halves that time.
     monkeypatch.setattr(peer_links, "CONNECT_TIMEOUT_S", 0.05)
     monkeypatch.setattr(peer_links, "Channel", UnansweredChannel)
     broken = []
--- a/packages/springbridge-node/springbridge_node/class_router/platform_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/platform_test.py
@@ -1,4 +1,4 @@
-"""Contract tests of the platform's interface through the real adapter, with faults in tables."""
+"""Contract tests of the platform's services through the real adapter, with injected faults."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 class WallClock:
-    """Seconds since 1970 that a test moves by hand."""
+    """Seconds since 1970, advanced by the test."""
 
     now_s = 1_800_000_000.0
 
@@ -51,13 +51,13 @@
 
 @pytest.fixture
 def wall_clock():
-    """Return a clock that stands still."""
+    """Return a clock that only the test advances."""
     return WallClock()
 
 
 @pytest.fixture
 def store(run, platform, wall_clock):
-    """Return the real adapter on the platform."""
+    """Return the real adapter, connected to the platform."""
 
     async def make():
         return HttpTableStore(platform.address, make_client(), wall_clock)
@@ -186,7 +186,7 @@
 def test_order_of_a_paused_holder_is_refused_by_an_engine_that_checks(
     run, store, wall_clock, make_endpoint
 ):
-    """The holder takes its lease, is paused, and sends the order when another has taken over."""
+    """The holder acquires its lease, is paused, and sends the order after another acquired it."""
     standin, endpoint = make_endpoint(True)
     paused = orders(run, store, "paused", wall_clock)
     stale = run(store.take_lease("e", "paused")).unwrap()
@@ -201,7 +201,7 @@
 def test_engine_that_does_not_check_gets_no_order_after_a_pause(
     run, store, wall_clock, make_endpoint
 ):
-    """The holder is paused between lease and order: it notices by its own clock and gives none."""
+    """The holder is paused between lease and order: its clock shows that, and it sends none."""
     standin, endpoint = make_endpoint(False)
     ticks = iter([0.0, ORDER_LEASE_S - 1.0])
     paused = orders(run, store, "paused", lambda: next(ticks))
--- a/packages/springbridge-node/springbridge_node/class_router/requests/progress_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/progress_test.py
@@ -1,4 +1,4 @@
-"""Tests of progress.py: latencies of a stream, and the silence that counts as a stall."""
+"""Tests of progress.py: latencies of a stream, and stall timeouts."""
 
 from springbridge.classes.entities import Endpoint, EndpointKind, Request, RequestClass, Tier
 from springbridge.classes.stream import Chunk
--- a/packages/springbridge-node/springbridge_node/class_router/requests/work_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/requests/work_test.py
@@ -1,4 +1,4 @@
-"""Tests of work.py: which end of an attempt leads to another attempt."""
+"""Tests of work.py: which failed attempts are retried."""
 
 import pytest
 from springbridge.classes.entities import Endpoint, EndpointKind, Request, RequestClass, Tier
