--- a/packages/springbridge-node/springbridge_node/class_router/peers/peer_links_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/peers/peer_links_test.py
@@ -14,7 +14,7 @@
 
 
 def test_links_to_a_peer_that_is_gone_end_when_closed():
-    """A cancellation that is lost while a link connects would hang the planned stop (soak, seed 4)."""
+    """A cancellation lost while a link connects would hang the planned stop (soak, seed 4)."""
 
     async def scenario():
         ended = 0
