--- a/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
@@ -56,7 +56,7 @@
     Mutant(
         "only the home promises not run",
         f"{NODE}/class_router/requests/at_most_once.py",
-        "        return unknown_because(problem)\n\n    def serve",
+        "        return as_outcome_unknown(problem)\n\n    def serve",
         "        return problem\n\n    def serve",
         f"{NODE}/class_router/at_most_once_test.py::test_node_that_refuses_a_retry_does_not_say_that_it_was_not_run",
     ),
@@ -161,8 +161,8 @@
     Mutant(
         "freshness before serving",
         f"{NODE}/class_router/config/config_sync.py",
-        "            self._decision = may_serve(self.confirmation, now_s, majority, peers)",
-        "            self._decision = self.confirmation.version > 0",
+        "            self._may_serve = may_serve(self.confirmation, now_s, majority, peers)",
+        "            self._may_serve = self.confirmation.version > 0",
         f"{NODE}/class_router/configuration_test.py::test_node_cut_off_from_table_and_peers_stops_serving",
     ),
     Mutant(
