--- a/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
+++ b/packages/springbridge-node/springbridge_node/gateway/config/platform_store.py
@@ -66,7 +66,7 @@
     Cursors and revisions are stamps; see springbridge/store_stamp.py.
     """
 
-    def on_older_copy(self, went_back: Callable[[int], None]) -> None:
+    def on_store_rollback(self, on_rollback: Callable[[int], None]) -> None:
         """Set the callback that gets the new era after the store was restored from an older copy.
 
         Writes of the last seconds may be lost then, and revisions are assigned a second time.
--- a/packages/springbridge-node/springbridge_node/gateway/gateway.py
+++ b/packages/springbridge-node/springbridge_node/gateway/gateway.py
@@ -135,7 +135,7 @@
         self.store_steps = 0
         self._tasks: list[asyncio.Task] = []
         self._refusing = False
-        ports.store.on_older_copy(self._store_went_back)
+        ports.store.on_store_rollback(self._store_went_back)
 
     def _store_went_back(self, era: int) -> None:
         """Read the configuration again, and repeat writes that the store may have lost."""
