--- a/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
@@ -83,7 +83,7 @@
         f"{NODE}/gateway/requests/router.py",
         "if not self._parts.registry.may_get_request(",
         "if False and not self._parts.registry.may_get_request(",
-        f"{PLATFORM}/news_while_waiting_test.py",
+        f"{PLATFORM}/change_while_waiting_test.py",
     ),
     Mutant(
         "rest: it is no failure",
