--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Lays out under target/ what a node needs to run: libraries, and the sources without their tests.
-# Nothing is touched if it is there already. What is new is laid out beside it and then put in its
-# place, since nodes may be starting from it: one that found half a program ended at its first import.
+# Builds the files that a node needs under target/: libraries, and the sources without tests.
+# Files that are up to date are left alone. New sources are copied to a directory beside the old ones
+# and then renamed, because nodes may be starting at that moment: a node that finds only a part of the
+# sources fails at its first import.
 set -eu
 if ! [ target/deps -nt deploy/requirements.txt ]; then
 	python3 -m pip install -q -U --disable-pip-version-check --target target/deps \
