--- a/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
@@ -7,7 +7,7 @@
 from springbridge.codes import Code
 from springbridge_standins.class_router.caller import until
 from springbridge_standins.free_addresses import free_address
-from springbridge_standins.proxy import running_relay
+from springbridge_standins.proxy import running_proxy
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, Is
 
@@ -138,10 +138,10 @@
 def test_node_cut_off_from_the_table_learns_from_its_peers(run, world):
     async def scenario():
         address = free_address()
-        async with running_relay(address, world.platform) as relay:
+        async with running_proxy(address, world.platform) as relay:
             node = await world.start_node("node-4", "perth-a", table=address)
             assert_that(await becomes(world, "node-4", Code.OK), Is(True))
-            relay.cut()
+            relay.disconnect()
             edit = weight_edit(world, ROW, world.rows[ROW]["weight"], "5")
             version = await world.edit(world.nodes["node-1"], "past-the-cut", [edit])
             assert_that(version, Equals(2))
@@ -157,17 +157,17 @@
 
     async def scenario():
         address = free_address()
-        async with running_relay(address, world.platform) as relay:
+        async with running_proxy(address, world.platform) as relay:
             await world.start_node("node-4", "perth-a", table=address)
             assert_that(await becomes(world, "node-4", Code.OK), Is(True))
-            relay.cut()
+            relay.disconnect()
             others = [node for name, node in world.nodes.items() if name != "node-4"]
             for node in others:
                 world.freeze(node)
             assert_that(await becomes(world, "node-4", Code.CONFIG_NOT_FRESH), Is(True))
             for node in others:
                 world.thaw(node)
-            relay.mend()
+            relay.restore()
             assert_that(await becomes(world, "node-4", Code.OK), Is(True))
 
     run(scenario())
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_histories_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_histories_test.py
@@ -13,9 +13,9 @@
 @pytest.mark.parametrize("seed", [*ONCE_BROKEN, *DRAWN])
 def test_no_history_has_two_holders_at_once(seed):
     history = play_history(seed)
-    assert_that(history.broken, Equals([]))
+    assert_that(history.violations, Equals([]))
 
 
 def test_the_histories_have_holders_that_act():
-    acts = sum(len(play_history(seed).acts) for seed in DRAWN[:20])
-    assert_that(acts, GreaterThan(200))
+    calls = sum(len(play_history(seed).calls) for seed in DRAWN[:20])
+    assert_that(calls, GreaterThan(200))
--- a/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/duties/lease_keeper_test.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 import pytest
-from springbridge_standins.lease_histories import CALL_S, LEASE_S, DrawnStore, NodeStore
+from springbridge_standins.lease_histories import CALL_S, LEASE_S, NodeStoreClient, SimulatedStore
 from springbridge_standins.virtual_loop import run_virtual
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
@@ -17,18 +17,18 @@
     """A machine that is never frozen, and its rank among the candidates."""
 
     cut_until_s = 0.0
-    place = 0
+    ranking = 0
 
-    async def thawed(self):
+    async def wait_while_frozen(self):
         """Return at once."""
 
     def rank(self):
         """Return the set rank."""
-        return self.place
+        return self.ranking
 
     def include_me(self):
         """Return whether the rank is that of a candidate."""
-        return self.place < 3
+        return self.ranking < 3
 
 
 @pytest.fixture
@@ -37,9 +37,9 @@
 
     def run(body):
         async def play():
-            store, machine = DrawnStore(random.Random(1), lossy=0.0), Machine()
+            store, machine = SimulatedStore(random.Random(1), loss_rate=0.0), Machine()
             keeper = LeaseKeeper(
-                NodeStore(store, machine),
+                NodeStoreClient(store, machine),
                 machine,
                 "node-1",
                 "run-1",
@@ -65,7 +65,7 @@
 
         calling = asyncio.ensure_future(call())
         await asyncio.sleep(0.01)
-        holder.machine.place = 3
+        holder.machine.ranking = 3
         await holder.keeper.step()
         await calling
         assert_that(holder.store.row.handed_on, Is(True))
@@ -75,7 +75,7 @@
 
 def test_no_call_begins_once_the_lease_is_being_handed_on(with_holder):
     async def body(holder):
-        holder.machine.place = 3
+        holder.machine.ranking = 3
         handing_on = asyncio.ensure_future(holder.keeper.step())
         await asyncio.sleep(0)
         with holder.keeper.credentials_for_call(CALL_S) as credentials:
--- a/packages/springbridge-standins/springbridge_standins/class_router/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/caller.py
@@ -79,7 +79,7 @@
             got = await fetch(node, "GET", path, timeout_s=ADDRESS_TIMEOUT_S, Authorization=bearer)
         except OSError:
             return []
-        if got.status != 200 or not got.whole:
+        if got.status != 200 or not got.is_complete:
             return []
         found = orjson.loads(got.body)["addresses"]
         return [Address(one["address"], one["place"], one["id_prefix"]) for one in found]
@@ -129,7 +129,7 @@
 
 def _read_service(reply: Reply, got: RawAnswer, call: Call) -> None:
     """Take over a service's answer."""
-    if got.whole:
+    if got.is_complete:
         reply.code = Code.OK
         reply.whole = orjson.loads(got.body)["request"]["prompt"] == call.prompt
 
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/faults.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/faults.py
@@ -46,9 +46,9 @@
     node = soak.pick_node()
     relay = soak.relays.get(node.name) if node is not None else None
     if relay is not None:
-        relay.cut()
+        relay.disconnect()
         await asyncio.sleep(seconds)
-        relay.mend()
+        relay.restore()
 
 
 def _platform(on: dict, off: dict, times: float = 1.0) -> Fault:
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/state.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/state.py
@@ -7,7 +7,7 @@
 
 from springbridge_standins.class_router.world import NodeProcess, World
 from springbridge_standins.free_addresses import free_address
-from springbridge_standins.proxy import LoopbackProxy, running_relay
+from springbridge_standins.proxy import LoopbackProxy, running_proxy
 
 # Nodes of a soak; with one of them lost the other three are still a majority.
 NODES = 4
@@ -50,7 +50,7 @@
         self.started += 1
         name = f"node-{self.started}"
         address = free_address()
-        relay = running_relay(address, self.world.platform)
+        relay = running_proxy(address, self.world.platform)
         self.relays[name] = await self.stack.enter_async_context(relay)
         failure_domain = self.rng.choice(self.world.failure_domains)
         return await self.world.start_node(name, failure_domain, table=address)
--- a/packages/springbridge-standins/springbridge_standins/class_router/world.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/world.py
@@ -149,7 +149,7 @@
             got = await self._operate(node, "POST", "/operator/table", orjson.dumps(body), EDIT_S)
         except OSError:
             return NO_REPLY
-        if not got.body or not got.whole:
+        if not got.body or not got.is_complete:
             return NO_REPLY
         answer = orjson.loads(got.body)
         return answer["version"] if got.status == 200 else -answer["errors"][0]["code"]
@@ -171,7 +171,7 @@
             got = await self._operate(node, "GET", path, b"", READ_S)
         except OSError:
             return {}
-        return orjson.loads(got.body) if got.status == 200 and got.whole else {}
+        return orjson.loads(got.body) if got.status == 200 and got.is_complete else {}
 
     async def _operate(
         self, node: NodeProcess, method: str, path: str, body: bytes, timeout_s: float
--- a/packages/springbridge-standins/springbridge_standins/crash_simulation_test.py
+++ b/packages/springbridge-standins/springbridge_standins/crash_simulation_test.py
@@ -9,56 +9,58 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from springbridge_standins.crash_simulation import CrashSimulation, Scene
+from springbridge_standins.crash_simulation import CrashSimulation, Scenario
 
 SEEDS = 12
 # Seconds after the third end in which nodes may not know of it yet, and the retries that endpoints
 # may get of the request after that: the users' rule.
-IN_TOUCH_S, MOST_RETRIES = 3.0, 3
+PROPAGATION_S, MAX_RETRIES = 3.0, 3
 
-SCENES = {
-    "one": Scene(),
-    "one, three endpoints": Scene(endpoints=3, per_s=5.0),
-    "hot pages": Scene(per_s=2.0, pages=3, page_per_s=20.0),
-    "one, endpoints end by themselves": Scene(crashes_per_s=0.3),
-    "two": Scene(poison=2),
-    "two, twenty endpoints": Scene(endpoints=20, per_s=40.0, poison=2, crashes_per_s=0.3),
-    "three, endpoints end by themselves": Scene(poison=3, crashes_per_s=0.3),
-    "two minutes": Scene(lasts_s=120.0, crashes_per_s=0.1),
+SCENARIOS = {
+    "one": Scenario(),
+    "one, three endpoints": Scenario(endpoints=3, requests_per_s=5.0),
+    "hot pages": Scenario(requests_per_s=2.0, pages=3, page_per_s=20.0),
+    "one, endpoints end by themselves": Scenario(crashes_per_s=0.3),
+    "two": Scenario(poison=2),
+    "two, twenty endpoints": Scenario(
+        endpoints=20, requests_per_s=40.0, poison=2, crashes_per_s=0.3
+    ),
+    "three, endpoints end by themselves": Scenario(poison=3, crashes_per_s=0.3),
+    "two minutes": Scenario(duration_s=120.0, crashes_per_s=0.1),
 }
 # With one such request and no other endings nobody else may be taken for the cause.
-ALONE = ("one", "one, three endpoints", "hot pages")
+SINGLE_CAUSE = ("one", "one, three endpoints", "hot pages")
 
 
-def outcomes(scene):
-    """Yield what came of a scene with each seed."""
+def outcomes(scenario):
+    """Yield what came of a scenario with each seed."""
     for seed in range(SEEDS):
-        yield CrashSimulation(scene, seed).run()
+        yield CrashSimulation(scenario, seed).run()
 
 
-@pytest.mark.parametrize("name", SCENES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_a_request_that_ends_endpoints_reaches_few_more(name):
     late = [
-        outcome.late_sends(poison, IN_TOUCH_S)
-        for outcome in outcomes(SCENES[name])
-        for poison in outcome.ends
+        outcome.late_starts(poison, PROPAGATION_S)
+        for outcome in outcomes(SCENARIOS[name])
+        for poison in outcome.crashes_s
     ]
     assert_that(len(late), GreaterThan(SEEDS - 1))
-    assert_that(max(late), LessThan(MOST_RETRIES + 1))
+    assert_that(max(late), LessThan(MAX_RETRIES + 1))
 
 
-@pytest.mark.parametrize("name", ALONE)
+@pytest.mark.parametrize("name", SINGLE_CAUSE)
 def test_no_other_request_is_refused_beside_it(name):
     refused = sum(
-        sum(count for request, count in outcome.refused.items() if request not in outcome.ends)
-        for outcome in outcomes(SCENES[name])
+        sum(count for request, count in outcome.refused.items() if request not in outcome.crashes_s)
+        for outcome in outcomes(SCENARIOS[name])
     )
     assert_that(refused, Equals(0))
 
 
 def test_without_such_a_request_few_are_refused_and_only_for_moments():
-    scene = Scene(poison=0, crashes_per_s=0.3)
-    found = list(outcomes(scene))
+    scenario = Scenario(poison=0, crashes_per_s=0.3)
+    found = list(outcomes(scenario))
     requests = sum(outcome.served for outcome in found)
     refused = sum(len(outcome.refused) for outcome in found)
     assert_that(refused, LessThan(requests / 1000))
@@ -68,6 +70,6 @@
 
 
 def test_while_no_endpoint_ends_nothing_is_recorded():
-    simulation = CrashSimulation(Scene(poison=0), seed=1)
+    simulation = CrashSimulation(Scenario(poison=0), seed=1)
     simulation.run()
     assert_that(len(simulation.records), Equals(0))
--- a/packages/springbridge-standins/springbridge_standins/gateway/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/caller.py
@@ -56,7 +56,7 @@
         self._writer.write(request_bytes(path, **options))
         async with asyncio.timeout(LONGEST_ANSWER_S):
             got = await read_answer(self._reader)
-        self.may_be_kept = got.whole and got.headers.get("connection", "").lower() != "close"
+        self.may_be_kept = got.is_complete and got.headers.get("connection", "").lower() != "close"
         return got
 
     def close(self) -> None:
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
@@ -16,9 +16,9 @@
     """Check what a caller got."""
     streams = path in ("/stream/x", "/single/x")
     expected = stream_of(request_id) if streams else plain_of(request_id, body)
-    if got.status == 200 and got.whole and got.body != expected:
+    if got.status == 200 and got.is_complete and got.body != expected:
         soak.violated("whole answer", f"{request_id} {path} got {got.body[:80]!r}")
-    if got.status == 200 and not got.whole and not expected.startswith(got.body):
+    if got.status == 200 and not got.is_complete and not expected.startswith(got.body):
         soak.violated("part of its own answer", f"{request_id} {path} got {got.body[:80]!r}")
     if got.status == 503 and b'"QUARANTINED"' in got.body:
         soak.violated("others are not refused beside it", f"{request_id} {path}")
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
@@ -11,7 +11,7 @@
 from springbridge_standins.gateway.soak.nodes import NodeProcess
 from springbridge_standins.gateway.soak.state import Soak
 from springbridge_standins.gateway.store import StoreFault
-from springbridge_standins.proxy import Harm, LoopbackProxy
+from springbridge_standins.proxy import ConnectionFault, LoopbackProxy
 
 # Time that a node process takes to start and find its peers, with room for a busy machine.
 START_S = 2.0
@@ -70,9 +70,11 @@
 async def _harm_link(soak: Soak, proxies: list[LoopbackProxy]) -> None:
     """Harm one link for a while."""
     proxy = soak.rng.choice(proxies)
-    proxy.harm = soak.rng.choice([harm for harm in Harm if harm is not Harm.NONE])
+    proxy.fault = soak.rng.choice(
+        [harm for harm in ConnectionFault if harm is not ConnectionFault.NONE]
+    )
     await asyncio.sleep(soak.rng.random() * LONGEST_HARM_S)
-    proxy.harm = Harm.NONE
+    proxy.fault = ConnectionFault.NONE
 
 
 async def _harm_store(soak: Soak) -> None:
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/rates.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/rates.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from springbridge_standins.gateway.soak.state import Soak
-from springbridge_standins.proxy import Harm
+from springbridge_standins.proxy import ConnectionFault
 from springbridge_standins.rates.rate_record import IN_TOUCH_S, Arrival, Named, RateRecord
 
 # Rates that are named, in requests a second.
@@ -52,7 +52,7 @@
     def is_excused(self, name: str, request_id: str) -> bool:
         """Return whether the sender, or the way to the engine, was harmed a moment ago."""
         now_s = time.monotonic()
-        if self.soak.proxy_of(name).harm is not Harm.NONE:
+        if self.soak.proxy_of(name).fault is not ConnectionFault.NONE:
             self._harmed_until_s[name] = now_s + IN_TOUCH_S
         asked = self.soak.asked.get(request_id)
         # A request that is in no caller's hands is one that ends engines; any node may send it.
--- a/packages/springbridge-standins/springbridge_standins/http_wire.py
+++ b/packages/springbridge-standins/springbridge_standins/http_wire.py
@@ -12,7 +12,7 @@
 # End of a line.
 CRLF = b"\r\n"
 # Value of SO_LINGER with which a close sends a reset.
-LINGER_NOT = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 @dataclass(frozen=True)
@@ -49,13 +49,13 @@
     """An answer as it came.
 
     Attributes:
-      whole: Whether its framing says that it is complete.
+      is_complete: Whether its framing says that it is complete.
     """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 @dataclass(eq=False)
@@ -77,7 +77,7 @@
     def reset(self) -> None:
         """End the connection with a reset."""
         sock = self.writer.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOT)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.writer.transport.abort()
 
 
@@ -107,14 +107,14 @@
     start, headers = parse_head(raw[:-4])
     status = int(start.split(" ")[1])
     if headers.get("transfer-encoding") == "chunked":
-        body, whole = await _read_chunks(reader)
+        body, is_complete = await _read_chunks(reader)
     else:
         length = int(headers.get("content-length", 0))
         try:
-            body, whole = await reader.readexactly(length), True
+            body, is_complete = await reader.readexactly(length), True
         except asyncio.IncompleteReadError as exc:
-            body, whole = exc.partial, False
-    return RawAnswer(status, headers, body, whole)
+            body, is_complete = exc.partial, False
+    return RawAnswer(status, headers, body, is_complete)
 
 
 async def _read_chunks(reader: asyncio.StreamReader) -> tuple[bytes, bool]:
--- a/packages/springbridge-standins/springbridge_standins/known_red.py
+++ b/packages/springbridge-standins/springbridge_standins/known_red.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 # Most entries in the file; the users set it, so that the list cannot grow into a habit.
-MOST_ENTRIES = 3
+MAX_ENTRIES = 3
 
 
 @dataclass(frozen=True)
@@ -35,8 +35,8 @@
     if not path.exists():
         return ()
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_ENTRIES:
-        raise ValueError(f"more than {MOST_ENTRIES} entries in {path.name}")
+    if len(lines) > MAX_ENTRIES:
+        raise ValueError(f"more than {MAX_ENTRIES} entries in {path.name}")
     return tuple(_read_entry(root, line) for line in lines)
 
 
--- a/packages/springbridge-standins/springbridge_standins/pages.py
+++ b/packages/springbridge-standins/springbridge_standins/pages.py
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 SOURCE_FOLDERS = ("packages", "platform", "deploy", "examples", "bench")
-MADE_BY_COMMANDS = ("target/", ".venv/")
+GENERATED_FOLDERS = ("target/", ".venv/")
 FENCE = re.compile(r"^```.*?^```$", re.MULTILINE | re.DOTALL)
 INDENTED = re.compile(r"^    .*$", re.MULTILINE)
 CODE = re.compile(r"`([^`\n]+)`")
@@ -147,7 +147,7 @@
 
 def is_file_of_sources(name: str) -> bool:
     """Return whether a path, or its end, is that of a file."""
-    if name.startswith(MADE_BY_COMMANDS):
+    if name.startswith(GENERATED_FOLDERS):
         return True
     return any(f"/{path.as_posix()}".endswith(f"/{name.lstrip('./')}") for path in source_files())
 
--- a/packages/springbridge-standins/springbridge_standins/proxy.py
+++ b/packages/springbridge-standins/springbridge_standins/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets or silences the connections through it, or cuts one way."""
+"""A loopback proxy that delays, resets or silences the connections through it, or cuts each way."""
 
 import asyncio
 import contextlib
@@ -6,14 +6,14 @@
 from enum import Enum
 
 # Bytes that are read at once; any size does.
-PIECE_BYTES = 65536
+READ_BYTES = 65536
 # Delay of each piece; long beside a loopback's microseconds, short beside a deadline of 3 s.
 DELAY_S = 0.15
 # How often a silenced direction looks whether it may go on.
 SILENCE_POLL_S = 0.05
 
 
-class Harm(Enum):
+class ConnectionFault(Enum):
     """What happens to connections; the order is part of what a soak's seed means."""
 
     NONE = "none"
@@ -24,22 +24,22 @@
 
 
 class LoopbackProxy:
-    """Passes connections on to a target, with harm that can change at any moment.
+    """Passes connections on to a target, with fault that can change at any moment.
 
     Attributes:
-      harm: What happens to bytes from now on; RESET also ends the connections that are open.
+      fault: What happens to bytes from now on; RESET also ends the connections that are open.
     """
 
     def __init__(self, target: str) -> None:
         """Keep the target's address."""
         self._target = target
-        self._harm = Harm.NONE
+        self._fault = ConnectionFault.NONE
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
         self.address = ""
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
-        """Begin to listen; port 0 means any free one."""
+        """Begin to listen; port 0 means any free each."""
         host, _, port = address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
         host, port = self._server.sockets[0].getsockname()
@@ -57,23 +57,23 @@
         return self._server is not None and self._server.is_serving()
 
     @property
-    def harm(self) -> Harm:
+    def fault(self) -> ConnectionFault:
         """Return what happens to connections now."""
-        return self._harm
+        return self._fault
 
-    @harm.setter
-    def harm(self, harm: Harm) -> None:
-        self._harm = harm
-        if harm is Harm.RESET:
+    @fault.setter
+    def fault(self, fault: ConnectionFault) -> None:
+        self._fault = fault
+        if fault is ConnectionFault.RESET:
             self._close_all()
 
-    def cut(self) -> None:
-        """Break all connections and let no new one through."""
-        self.harm = Harm.RESET
+    def disconnect(self) -> None:
+        """Break all connections and let no new each through."""
+        self.fault = ConnectionFault.RESET
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Let connections through again."""
-        self.harm = Harm.NONE
+        self.fault = ConnectionFault.NONE
 
     def _close_all(self) -> None:
         for writer in self._writers:
@@ -81,8 +81,8 @@
         self._writers.clear()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Pass one connection on."""
-        if self._harm is Harm.RESET:
+        """Pass each connection on."""
+        if self._fault is ConnectionFault.RESET:
             writer.transport.abort()
             return
         host, _, port = self._target.rpartition(":")
@@ -94,21 +94,23 @@
         self._writers |= {writer, target_writer}
         with contextlib.suppress(OSError, asyncio.CancelledError):
             await asyncio.gather(
-                self._pump(reader, target_writer, back=False),
-                self._pump(target_reader, writer, back=True),
+                self._pump(reader, target_writer, is_response=False),
+                self._pump(target_reader, writer, is_response=True),
             )
-        for one in (writer, target_writer):
-            self._writers.discard(one)
-            one.close()
+        for each in (writer, target_writer):
+            self._writers.discard(each)
+            each.close()
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, back: bool
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_response: bool
     ) -> None:
-        """Pass bytes on in one direction until they end."""
-        while piece := await reader.read(PIECE_BYTES):
-            while self._harm is Harm.SILENCE or (self._harm is Harm.ONE_WAY and back):
+        """Pass bytes on in each direction until they end."""
+        while piece := await reader.read(READ_BYTES):
+            while self._fault is ConnectionFault.SILENCE or (
+                self._fault is ConnectionFault.ONE_WAY and is_response
+            ):
                 await asyncio.sleep(SILENCE_POLL_S)
-            if self._harm is Harm.DELAY:
+            if self._fault is ConnectionFault.DELAY:
                 await asyncio.sleep(DELAY_S)
             writer.write(piece)
             await writer.drain()
@@ -116,7 +118,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running_relay(address: str, target: str) -> AsyncIterator[LoopbackProxy]:
+async def running_proxy(address: str, target: str) -> AsyncIterator[LoopbackProxy]:
     """Run a proxy on an address."""
     proxy = LoopbackProxy(target)
     await proxy.start(address)
--- a/packages/springbridge-standins/springbridge_standins/usage_histories.py
+++ b/packages/springbridge-standins/springbridge_standins/usage_histories.py
@@ -23,7 +23,7 @@
 from springbridge_node.gateway.duties.usage_sharing import SEND_INTERVAL_S, UsageSharing
 from springbridge_node.gateway.peers.datagrams import Handler, Kind
 
-from springbridge_standins.lease_histories import NODES, DrawnNode, History
+from springbridge_standins.lease_histories import NODES, LeaseHistory, SimulatedNode
 from springbridge_standins.virtual_loop import run_virtual
 
 # Seconds of one history, and of one window.
@@ -31,25 +31,25 @@
 # Seconds since the start of 1970 at the start of a history, the start of a window.
 START_S = 1_000_000.0
 # Seconds between two requests that an instance counts, and between two looks for reports to send.
-REQUEST_S, ACT_S = 0.2, 0.5
+REQUEST_INTERVAL_S, REPORT_STEP_S = 0.2, 0.5
 # Seconds after the end of a window after which a report counts as missed.
-DUE_S = 15.0
-# Places in the ranking that may take the lease.
+REPORT_DUE_S = 15.0
+# Places in the ranking that may record the lease.
 CANDIDATES = 3
 # Seconds on the way of a datagram.
-WAY_S = 0.002
+DATAGRAM_DELAY_S = 0.002
 # Largest jump of a clock, in seconds.
 CLOCK_JUMP_S = 3.0
 
 
 @dataclass(frozen=True)
-class Harms:
+class Faults:
     """What befalls a history.
 
     Attributes:
-      kinds: Names of the harms, each a method of UsageHistory.
-      pause_s: Longest pause between two.
-      lost: Part of the datagrams that are lost.
+      kinds: Names of the faults, each a method of UsageHistory.
+      max_pause_s: Longest pause between two.
+      loss_rate: Part of the datagrams that are lost.
     """
 
     kinds: tuple[str, ...] = (
@@ -63,30 +63,32 @@
         "leave",
         "jump",
     )
-    pause_s: float = 3.0
-    lost: float = 0.1
+    max_pause_s: float = 3.0
+    loss_rate: float = 0.1
 
 
 @dataclass
-class Told:
-    """The platform: what it was told about each window, and what it was told twice.
+class PlatformReports:
+    """The platform: what it was reported about each window, and what it was reported conflicts.
 
     Attributes:
-      reports: Counts by window, as they were first told.
-      twice: Windows with two counts, a line each.
+      reports: Counts by window, as they were first reported.
+      conflicts: Windows with two counts, a line each.
     """
 
     reports: dict[int, Counts] = field(default_factory=dict)
-    twice: list[str] = field(default_factory=list)
+    conflicts: list[str] = field(default_factory=list)
 
-    def take(self, instance: str, report: Report) -> None:
+    def record(self, instance: str, report: Report) -> None:
         """Take a report."""
         first = self.reports.setdefault(report.window, dict(report.counts))
         if first != report.counts:
-            self.twice.append(f"window {report.window}: {first}, then {report.counts} {instance}")
+            self.conflicts.append(
+                f"window {report.window}: {first}, then {report.counts} {instance}"
+            )
 
 
-class ReportingNode(DrawnNode):
+class ReportingNode(SimulatedNode):
     """A machine with the run of an instance that counts and reports."""
 
     def __init__(self, history: "UsageHistory", number: int) -> None:
@@ -101,9 +103,9 @@
         loop, history = asyncio.get_running_loop(), self._history
         self.incarnation = f"{self.name}.{self._runs}"
         self.sharing = UsageSharing(self, self.incarnation, WINDOW_S, loop.time, self._wall_s)
-        self.sharing.connect(DrawnDatagrams(history, self))
+        self.sharing.connect(SimulatedDatagrams(history, self))
         self.reporter = UsageReporter(
-            self.keeper, self.sharing, DrawnPlatform(history, self), self, WINDOW_S
+            self.keeper, self.sharing, SimulatedPlatform(history, self), self, WINDOW_S
         )
         self.keeper.connect(
             self.reporter.continue_from, self.reporter.decide_content, self.reporter.on_renewed
@@ -117,7 +119,7 @@
         return [
             SimpleNamespace(incarnation=node.incarnation, peer_address=node.name)
             for node in self._history.nodes
-            if node is not self and node.place < CANDIDATES
+            if node is not self and node.ranking < CANDIDATES
         ]
 
     def _wall_s(self) -> float:
@@ -126,24 +128,24 @@
 
     async def _count(self) -> None:
         while True:
-            await asyncio.sleep(REQUEST_S * (0.5 + self._history.rng.random()))
-            await self.thawed()
+            await asyncio.sleep(REQUEST_INTERVAL_S * (0.5 + self._history.rng.random()))
+            await self.wait_while_frozen()
             self.sharing.count_request("councils")
 
     async def _share(self) -> None:
         while True:
             await asyncio.sleep(SEND_INTERVAL_S)
-            await self.thawed()
+            await self.wait_while_frozen()
             await self.sharing.step()
 
     async def _report(self) -> None:
         while True:
-            await asyncio.sleep(ACT_S)
-            await self.thawed()
+            await asyncio.sleep(REPORT_STEP_S)
+            await self.wait_while_frozen()
             await self.reporter.step()
 
 
-class DrawnDatagrams:
+class SimulatedDatagrams:
     """The datagrams of one node."""
 
     def __init__(self, history: "UsageHistory", node: ReportingNode) -> None:
@@ -160,9 +162,11 @@
         """Send rows, each of which may be lost."""
         raw = orjson.dumps(rows)
         for node in self._history.nodes:
-            if node.name in peer_addresses and self._history.arrives():
+            if node.name in peer_addresses and self._history.datagram_arrives():
                 handlers = node.handlers
-                asyncio.get_running_loop().call_later(WAY_S, _hand_over, handlers, kind, raw)
+                asyncio.get_running_loop().call_later(
+                    DATAGRAM_DELAY_S, _deliver, handlers, kind, raw
+                )
 
     def sample_peers(self, limit: int) -> list[str]:
         """Return some other nodes."""
@@ -170,7 +174,7 @@
         return others[:limit]
 
 
-class DrawnPlatform:
+class SimulatedPlatform:
     """The platform as one node reaches it; calls or their answers may be lost."""
 
     def __init__(self, history: "UsageHistory", node: ReportingNode) -> None:
@@ -182,40 +186,40 @@
         """Take a report, unless the call is lost."""
         rng = self._history.rng
         await asyncio.sleep(rng.random() * 0.1)
-        await self._node.thawed()
-        if rng.random() < self._history.harms.lost:
+        await self._node.wait_while_frozen()
+        if rng.random() < self._history.faults.loss_rate:
             return Failure(Problem(Code.TABLE_UNAVAILABLE))
-        self._history.told.take(self._node.incarnation, report)
-        if rng.random() < self._history.harms.lost:
+        self._history.received.record(self._node.incarnation, report)
+        if rng.random() < self._history.faults.loss_rate:
             return Failure(Problem(Code.TABLE_UNAVAILABLE))
         return Success(None)
 
 
-class UsageHistory(History):
+class UsageHistory(LeaseHistory):
     """One drawn history of reports.
 
     Attributes:
-      told: What the platform got.
-      steps: Moments at which the store went back, in virtual seconds.
+      reported: What the platform got.
+      restores_s: Moments at which the store went back, in virtual seconds.
     """
 
-    def __init__(self, seed: int, harms: Harms) -> None:
+    def __init__(self, seed: int, faults: Faults) -> None:
         """Draw from a seed."""
         super().__init__(seed)
-        self.harms = harms
-        self.told = Told()
-        self.steps: list[float] = []
+        self.faults = faults
+        self.received = PlatformReports()
+        self.restores_s: list[float] = []
         self.nodes: list[ReportingNode] = []
 
-    def arrives(self) -> bool:
-        """Return whether a datagram arrives."""
-        return self.rng.random() >= self.harms.lost
+    def datagram_arrives(self) -> bool:
+        """Return whether a datagram datagram_arrives."""
+        return self.rng.random() >= self.faults.loss_rate
 
-    def missed(self) -> int:
-        """Return how many windows that were over for DUE_S got no report."""
+    def missed_windows(self) -> int:
+        """Return how many windows that were over for REPORT_DUE_S got no report."""
         first = window_at(START_S, WINDOW_S)
-        due = window_at(START_S + HISTORY_S - DUE_S, WINDOW_S)
-        return sum(window not in self.told.reports for window in range(first, due))
+        due = window_at(START_S + HISTORY_S - REPORT_DUE_S, WINDOW_S)
+        return sum(window not in self.received.reports for window in range(first, due))
 
     async def play(self) -> None:
         """Play the history."""
@@ -224,19 +228,19 @@
         loop = asyncio.get_running_loop()
         copying = asyncio.ensure_future(self._copy())
         while loop.time() < HISTORY_S:
-            await asyncio.sleep(self.rng.random() * self.harms.pause_s)
-            self._harm(self.rng.choice(self.harms.kinds))
+            await asyncio.sleep(self.rng.random() * self.faults.max_pause_s)
+            self._inject_fault(self.rng.choice(self.faults.kinds))
         copying.cancel()
         for node in self.nodes:
             node.kill()
 
-    def _harm(self, kind: str) -> None:
-        harm: Callable[[list[ReportingNode]], None] = getattr(self, f"_{kind}")
-        harm(self.nodes)
+    def _inject_fault(self, kind: str) -> None:
+        inject: Callable[[list[ReportingNode]], None] = getattr(self, f"_{kind}")
+        inject(self.nodes)
 
     def _go_back(self, nodes: list[ReportingNode]) -> None:
         super()._go_back(nodes)
-        self.steps.append(asyncio.get_running_loop().time())
+        self.restores_s.append(asyncio.get_running_loop().time())
 
     def _kill_all(self, nodes: list[ReportingNode]) -> None:
         for node in nodes:
@@ -247,13 +251,13 @@
         self.rng.choice(nodes).clock_ahead_s = self.rng.uniform(-1, 1) * CLOCK_JUMP_S
 
 
-def play_reports(seed: int, harms: Harms = Harms()) -> UsageHistory:
+def play_reports(seed: int, faults: Faults = Faults()) -> UsageHistory:
     """Play the history of a seed to its end."""
-    history = UsageHistory(seed, harms)
+    history = UsageHistory(seed, faults)
     run_virtual(history.play())
     return history
 
 
-def _hand_over(handlers: dict[Kind, Handler], kind: Kind, raw: bytes) -> None:
+def _deliver(handlers: dict[Kind, Handler], kind: Kind, raw: bytes) -> None:
     """Give rows to the run that they were sent to, as they were sent."""
     handlers[kind](orjson.loads(raw), "")
