--- a/packages/springbridge-standins/springbridge_standins/__init__.py
+++ b/packages/springbridge-standins/springbridge_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what surrounds springbridge: engines, plain services and the platform.
+"""Stand-ins for the systems around springbridge: endpoints, plain services and the platform.
 
-They exist for tests, the demo and measurements, and are no part of a deployment.
+They serve tests, the demo and measurements, and are not part of a deployment.
 """
--- a/packages/springbridge-standins/springbridge_standins/crash_simulation.py
+++ b/packages/springbridge-standins/springbridge_standins/crash_simulation.py
@@ -1,8 +1,8 @@
-"""Endpoints that end, on a simulated clock: what the quarantine makes of their requests.
+"""Simulates endpoint crashes on a virtual clock, to show which requests get quarantined.
 
-Only the rules of the library are real (`crash_records`, `quarantine`, `trials`); nodes know of each
-crash at once. That shows whom the rules take for the cause, over many more crashes than real
-processes could be put through.
+Only the rules of the library are real (`crash_records`, `quarantine`, `trials`); every node knows
+of each crash at once. This shows which requests the rules blame, over many more crashes than could
+be run with real processes.
 """
 
 import heapq
@@ -16,31 +16,32 @@
 from springbridge.quarantine import Quarantine, Standing
 from springbridge.trials import Answer, Trials
 
-# Seconds that a request runs: from, to. An endpoint that a request ends does so within the second.
+# Range of the run time of a request, and of the time from its start to the crash it causes.
 REQUEST_DURATION_S = (0.1, 2.5)
 CRASH_DELAY_S = (0.02, 0.3)
-# Seconds until an endpoint that ended is back: from, to.
+# Range of the time until a crashed endpoint is replaced.
 RESTART_DELAY_S = (2.0, 4.0)
-# Seconds before a caller tries retries, how often, and how long a request under suspicion is held.
+# Delay before a caller retries, and its retries per request.
 RETRY_DELAY_S, MAX_RETRIES = 0.3, 4
+# How long a suspected request is held, and how often it is checked for a free trial.
 MAX_HOLD_S, HOLD_POLL_S = 1.0, 0.05
-# Endpoints that get a repeatable request at attempt try.
+# Endpoints that a repeatable request is sent to in one attempt of its caller.
 ENDPOINTS_PER_ATTEMPT = 2
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """What a simulation draws from.
+    """Load and crash rates of one simulation.
 
     Attributes:
       endpoints: Endpoints of the service.
-      requests_per_s: Requests a second that are sent once, tries aside.
-      pages: Requests that are sent retries and retries, and run well.
-      page_per_s: How often each of them is sent in a second.
-      poison: Requests that end each endpoint that runs them.
-      poison_interval_s: Seconds between two sends of each.
-      crashes_per_s: Endpoints a second that end by themselves.
-      duration_s: Length of the simulation.
+      requests_per_s: Requests per second that are sent once, retries aside.
+      pages: Number of requests that are sent repeatedly and succeed.
+      page_per_s: How often each of those is sent per second.
+      poison: Number of requests that crash every endpoint that runs them.
+      poison_interval_s: Seconds between two sends of each poison request.
+      crashes_per_s: Endpoints per second that crash without being caused by a request.
+      duration_s: Length of the simulation in seconds.
     """
 
     endpoints: int = 6
@@ -55,15 +56,17 @@
 
 @dataclass
 class Outcome:
-    """What came of a simulation.
+    """Result of a simulation.
 
     Attributes:
-      ends: When endpoints ended under each poison request.
-      sends: When each poison request reached an endpoint.
-      refused: For each other request, how often it was refused for being in quarantine.
-      held: For each other request, how often it was refused after being held for a trial.
-      served, failed: Tries of other requests.
-      refused_for_s: For each of them that was refused and then served, the seconds in between.
+      crashes_s: When each poison request crashed an endpoint.
+      starts_s: When each poison request was started on an endpoint.
+      refused: For each other request, how often it was refused because it was quarantined.
+      held: For each other request, how often it was refused after it had waited
+        MAX_HOLD_S for a trial.
+      served, failed: Number of attempts of other requests that succeeded and that failed.
+      refused_for_s: Seconds between the first refusal and the success, for each other request that
+        was refused and then served.
     """
 
     crashes_s: dict[str, list[float]] = field(default_factory=dict)
@@ -75,7 +78,7 @@
     refused_for_s: list[float] = field(default_factory=list)
 
     def late_starts(self, poison: str, propagation_s: float) -> int:
-        """Return how often a request reached endpoints later than a time after its third end."""
+        """Return how often a request was started later than propagation_s after its third crash."""
         crashes_s = sorted(self.crashes_s.get(poison, []))
         if len(crashes_s) < 3:
             return 0
@@ -90,7 +93,7 @@
 
 @dataclass
 class _Attempt:
-    """One try of a request by its caller."""
+    """One attempt of a caller to get a request served."""
 
     request: str
     retries: int
@@ -100,15 +103,15 @@
 
     @property
     def holder(self) -> str:
-        """Return the name of the try."""
+        """Return an id by which trials tell attempts of the same request apart."""
         return str(id(self))
 
 
 class CrashSimulation:
-    """One simulation."""
+    """Runs one scenario; the same seed gives the same result."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        """Draw the scenario."""
+        """Prepare an empty simulation at second 0."""
         self.scenario = scenario
         self.now_s = 0.0
         self.outcome = Outcome()
@@ -122,7 +125,7 @@
         self._refused_s: dict[str, float] = {}
 
     def run(self) -> Outcome:
-        """Let the simulated time pass and return what came of it."""
+        """Run all events in virtual time and return the result."""
         for _ in range(self.scenario.endpoints):
             self._start_endpoint()
         self._draw_arrivals()
@@ -135,7 +138,7 @@
         heapq.heappush(self._events, (self.now_s + after_s, next(self._numbers), callback))
 
     def _draw_arrivals(self) -> None:
-        """Draw when each request is sent and when endpoints end by themselves."""
+        """Draw when each request is sent and when endpoints crash without a request."""
         scenario = self.scenario
         for number in range(int(scenario.requests_per_s * scenario.duration_s)):
             self._send_at(self._rng.uniform(0, scenario.duration_s), f"once-{number}")
@@ -159,12 +162,12 @@
         self._up[name] = _Endpoint(name)
 
     def _crash_any(self) -> None:
-        """End an endpoint that no request ended."""
+        """Crash a random endpoint without a request as the cause."""
         if self._up:
             self._crash(self._rng.choice(list(self._up.values())))
 
     def _crash(self, endpoint: _Endpoint) -> None:
-        """End an endpoint with all that it runs; another attempt starts later."""
+        """Crash an endpoint with all its requests, and start a replacement later."""
         if self._up.pop(endpoint.name, None) is None:
             return
         crash = crash_id(endpoint.name, None)
@@ -181,7 +184,7 @@
         self._schedule(self._rng.uniform(*RESTART_DELAY_S), self._start_endpoint)
 
     def _fail(self, attempt: _Attempt) -> None:
-        """Let the caller of a try that failed try retries."""
+        """Count a failed attempt, and let its caller retry up to MAX_RETRIES times."""
         if _is_poison(attempt.request):
             return
         self.outcome.failed += 1
@@ -191,7 +194,7 @@
             )
 
     def _send(self, attempt: _Attempt) -> None:
-        """Send a request to an endpoint, or hold or refuse it."""
+        """Start a request on an endpoint, hold it for a trial, or refuse it."""
         free = [each for name, each in self._up.items() if name not in attempt.tried]
         if not free:
             self._fail(attempt)
@@ -223,11 +226,11 @@
             self._fail(attempt)
 
     def _least_loaded(self, endpoints: list[_Endpoint]) -> _Endpoint:
-        """Return attempt of the endpoints with the fewest requests."""
+        """Return a random one of the endpoints with the fewest requests."""
         return min(endpoints, key=lambda each: (len(each.runs), self._rng.random()))
 
     def _hold(self, attempt: _Attempt) -> None:
-        """Let a request wait for a trial, and refuse it if that takes too long."""
+        """Let a request wait for a trial, and refuse it after MAX_HOLD_S."""
         attempt.held_until_s = attempt.held_until_s or self.now_s + MAX_HOLD_S
         if self.now_s >= attempt.held_until_s:
             self.outcome.held[attempt.request] += 1
@@ -236,7 +239,7 @@
             self._schedule(HOLD_POLL_S, lambda: self._send(attempt))
 
     def _start(self, attempt: _Attempt, endpoint: _Endpoint) -> None:
-        """Run a request."""
+        """Start a request on an endpoint, and schedule its success or the crash that it causes."""
         number = next(self._numbers)
         endpoint.runs[number] = attempt
         attempt.tried.add(endpoint.name)
@@ -253,13 +256,13 @@
             )
 
     def _crash_under(self, attempt: _Attempt, endpoint: _Endpoint, number: int) -> None:
-        """End an endpoint under the request that does so, unless it has ended."""
+        """Crash the endpoint that runs a poison request, unless it has crashed before."""
         if endpoint.name in self._up and number in endpoint.runs:
             self.outcome.crashes_s.setdefault(attempt.request, []).append(self.now_s)
             self._crash(endpoint)
 
     def _finish(self, attempt: _Attempt, endpoint: _Endpoint, number: int) -> None:
-        """Bring a request to a good end, unless its endpoint has ended."""
+        """Complete a request with success, unless its endpoint has crashed."""
         if endpoint.name not in self._up:
             return
         del endpoint.runs[number]
--- a/packages/springbridge-standins/springbridge_standins/crash_simulation_test.py
+++ b/packages/springbridge-standins/springbridge_standins/crash_simulation_test.py
@@ -1,8 +1,8 @@
-"""Properties of the quarantine over drawn crashes: whom it holds back, and what gets through.
+"""Properties of the quarantine over random crashes: which requests it refuses and which it serves.
 
-The load: a service whose endpoints have a dozen requests each, pages that many ask for, endpoints
-that end by themselves, and requests that end each endpoint and come again at every moment. Drawn
-with fixed seeds, so that the verdict is the same each time; the counts are in the assertions.
+The load: a service whose endpoints have a dozen requests each, pages that many callers request,
+endpoints that crash on their own, and poison requests that crash every endpoint and are retried all
+the time. The seeds are fixed, so that the result is the same in each run.
 """
 
 import pytest
@@ -12,8 +12,8 @@
 from springbridge_standins.crash_simulation import CrashSimulation, Scenario
 
 SEEDS = 12
-# Seconds after the third end in which nodes may not know of it yet, and the retries that endpoints
-# may get of the request after that: the users' rule.
+# The users' rule: the third crash may take this many seconds to reach all nodes; after that,
+# endpoints may get at most this many retries of the request.
 PROPAGATION_S, MAX_RETRIES = 3.0, 3
 
 SCENARIOS = {
@@ -28,18 +28,18 @@
     "three, endpoints end by themselves": Scenario(poison=3, crashes_per_s=0.3),
     "two minutes": Scenario(duration_s=120.0, crashes_per_s=0.1),
 }
-# With one such request and no other endings nobody else may be taken for the cause.
+# With one poison request and no other crashes, no other request may be refused.
 SINGLE_CAUSE = ("one", "one, three endpoints", "hot pages")
 
 
 def outcomes(scenario):
-    """Yield what came of a scenario with each seed."""
+    """Yield the result of a scenario with each seed."""
     for seed in range(SEEDS):
         yield CrashSimulation(scenario, seed).run()
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_a_request_that_ends_endpoints_reaches_few_more(name):
+def test_a_poison_request_reaches_few_endpoints_after_its_third_crash(name):
     late = [
         outcome.late_starts(poison, PROPAGATION_S)
         for outcome in outcomes(SCENARIOS[name])
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("name", SINGLE_CAUSE)
-def test_no_other_request_is_refused_beside_it(name):
+def test_no_other_request_is_refused_beside_a_poison_request(name):
     refused = sum(
         sum(count for request, count in outcome.refused.items() if request not in outcome.crashes_s)
         for outcome in outcomes(SCENARIOS[name])
@@ -58,18 +58,18 @@
     assert_that(refused, Equals(0))
 
 
-def test_without_such_a_request_few_are_refused_and_only_for_moments():
+def test_without_a_poison_request_few_are_refused_and_only_briefly():
     scenario = Scenario(poison=0, crashes_per_s=0.3)
     found = list(outcomes(scenario))
     requests = sum(outcome.served for outcome in found)
     refused = sum(len(outcome.refused) for outcome in found)
     assert_that(refused, LessThan(requests / 1000))
     longest_s = max((each for outcome in found for each in outcome.refused_for_s), default=0.0)
-    # One pause of a doubtful trial and the longest run of a request, with a try in between.
+    # One pause after an inconclusive trial and the longest run of a request, and one retry.
     assert_that(longest_s, LessThan(5.0))
 
 
-def test_while_no_endpoint_ends_nothing_is_recorded():
+def test_while_no_endpoint_crashes_nothing_is_recorded():
     simulation = CrashSimulation(Scenario(poison=0), seed=1)
     simulation.run()
     assert_that(len(simulation.records), Equals(0))
--- a/packages/springbridge-standins/springbridge_standins/free_addresses.py
+++ b/packages/springbridge-standins/springbridge_standins/free_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on loopback that are free now, others in each process that asks."""
+"""Picks free loopback addresses such that processes side by side get different ones."""
 
 import contextlib
 import itertools
@@ -8,22 +8,22 @@
 
 from springbridge.classes.table.rows import Cells
 
-# Below this lie the ports of common services.
+# Lower ports belong to common services.
 FIRST_PORT = 10_000
-# Above this lie the ports that outgoing connections use.
+# Higher ports are used for outgoing connections.
 LAST_PORT = 32_000
-# Ports that a process tries, so that worlds side by side take others.
+# Size of the block of ports that a process tries; processes side by side have different blocks.
 PORTS_PER_PROCESS = 200
-# First of the networks 127.N.0 for the nodes of a run; stand-ins and small fleets use 127.0.0.
+# Lowest N of the networks 127.N.0 for the nodes of a run; stand-ins and small fleets use 127.0.0.
 FIRST_NETWORK = 2
-# Networks to choose from.
+# Number of such networks.
 NETWORKS = 200
-# Any port that no node listens on; who binds it on the last IP of a network holds the network.
+# A port that no node listens on; the process that binds it on IP .254 of a network has reserved it.
 LOCK_PORT = 9463
 
 
 def _candidate_ports():
-    """Yield ports below the range that outgoing connections use, others in each process."""
+    """Yield the ports of this process's block, again and again."""
     blocks = (LAST_PORT - FIRST_PORT) // PORTS_PER_PROCESS
     start = FIRST_PORT + os.getpid() % blocks * PORTS_PER_PROCESS
     yield from itertools.cycle(range(start, start + PORTS_PER_PROCESS))
@@ -33,7 +33,11 @@
 
 
 def free_port() -> int:
-    """Return a port on loopback that is free now and that no world beside this one takes."""
+    """Return a port on 127.0.0.1 that is free now and that processes side by side do not try.
+
+    Raises:
+      RuntimeError: No port is free.
+    """
     for port in _ports:
         with socket.socket() as sock:
             try:
@@ -45,12 +49,12 @@
 
 
 def free_address() -> str:
-    """Return an address on loopback that is free now."""
+    """Return 127.0.0.1 with a port from free_port()."""
     return f"127.0.0.1:{free_port()}"
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free on all loopback IPs, for connections and for datagrams."""
+    """Return distinct ports that are free for TCP and for UDP on all IPs of the machine."""
     with contextlib.ExitStack() as stack:
         found = []
         while len(found) < count:
@@ -66,10 +70,13 @@
 
 @contextlib.contextmanager
 def loopback_network(seed: int) -> Iterator[str]:
-    """Hold the network 127.N.0 of a seed, or the next one that no other run holds.
+    """Reserve the network 127.N.0 of a seed, or the next one that no other run has reserved.
+
+    All nodes of a run use the same ports, each on its own IP, so runs side by side need networks of
+    their own, also if their seeds are the same.
 
-    Nodes have a port that is the same on each IP, so runs side by side need networks of their own,
-    also if their seeds are the same.
+    Raises:
+      RuntimeError: All networks are reserved.
     """
     for number in range(seed, seed + NETWORKS):
         network = f"127.{FIRST_NETWORK + number % NETWORKS}.0"
@@ -84,7 +91,7 @@
 
 
 def with_free_addresses(rows: Mapping[str, Cells]) -> dict[str, Cells]:
-    """Return the rows with a free address for each engine."""
+    """Return the rows with a free address for each row whose key begins with engine/."""
     return {
         key: {**cells, "address": free_address()} if key.startswith("engine/") else cells
         for key, cells in rows.items()
--- a/packages/springbridge-standins/springbridge_standins/free_addresses_test.py
+++ b/packages/springbridge-standins/springbridge_standins/free_addresses_test.py
@@ -1,4 +1,4 @@
-"""Tests of addresses for runs side by side."""
+"""Tests of free_addresses.py: runs side by side reserve different networks."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Not
@@ -6,7 +6,7 @@
 from springbridge_standins.free_addresses import loopback_network
 
 
-def test_runs_of_the_same_seed_hold_networks_of_their_own():
+def test_runs_of_the_same_seed_reserve_different_networks():
     with loopback_network(150) as first, loopback_network(150) as second:
         assert_that(second, Not(Equals(first)))
 
--- a/packages/springbridge-standins/springbridge_standins/http_standin.py
+++ b/packages/springbridge-standins/springbridge_standins/http_standin.py
@@ -1,7 +1,7 @@
-"""What all stand-ins that serve HTTP share: listening, reading requests, and ending like a process.
+"""Base class of stand-ins that serve HTTP: listens, reads requests, stops as if killed.
 
-Each subclass answers one request after another on each connection. It writes bytes itself, so that
-it can send what no HTTP library would, and can stop anywhere.
+A subclass answers the requests of each connection one after another. It writes the bytes itself, so
+that it can send malformed messages and stop at any byte, which an HTTP library would not allow.
 """
 
 import asyncio
@@ -12,29 +12,32 @@
 
 
 class HttpStandIn:
-    """A server on one address.
+    """An HTTP/1.1 server on one address.
 
     Attributes:
-      address: IP number:port; known before the start or from then on.
-      connections: How many connections were accepted.
+      address: IP:port; empty until the start if no address was given.
+      connections: Number of connections accepted so far.
     """
 
     def __init__(self, address: str = "") -> None:
-        """Keep the address; an empty one means any free port."""
+        """Set the address to listen on; empty for any free port."""
         self.address = address
         self.connections = 0
         self._server: asyncio.Server | None = None
         self._open: set[Connection] = set()
 
     async def start(self, ip: str = "127.0.0.1") -> None:
-        """Begin to listen, at the address of before if there is one."""
+        """Listen on the address, or on a free port of ip if there is none yet.
+
+        After a stop the same address is used again.
+        """
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self.serve, host or ip, int(port or 0))
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     def stop(self, close: Callable[[Connection], None] = Connection.reset) -> None:
-        """Stop listening and end all connections, by a reset as a process that is killed does."""
+        """Stop listening and close all connections, by default with a reset as if killed."""
         if self._server is not None:
             self._server.close()
         for connection in self._open:
@@ -46,11 +49,11 @@
             await asyncio.Event().wait()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
+        """Answer the requests of one connection until either side closes it."""
         self.connections += 1
         connection = Connection(reader, writer)
         self._open.add(connection)
-        # The other side's end, or the stand-in's own, is no fault of the stand-in.
+        # The peer closed the connection, or the stand-in was stopped: neither is an error.
         expected = (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError)
         try:
             with contextlib.suppress(*expected):
@@ -61,13 +64,13 @@
             writer.close()
 
     async def respond(self, request: RawRequest, connection: Connection) -> None:
-        """Answer a request, or fail it."""
+        """Answer a request, or fail it; to be overridden."""
         raise NotImplementedError
 
 
 @contextlib.asynccontextmanager
 async def running(standin: HttpStandIn, ip: str = "127.0.0.1") -> AsyncIterator[str]:
-    """Serve a stand-in and give its address."""
+    """Run a stand-in until the block ends, and yield its address."""
     await standin.start(ip)
     try:
         yield standin.address
--- a/packages/springbridge-standins/springbridge_standins/http_wire.py
+++ b/packages/springbridge-standins/springbridge_standins/http_wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as bytes, so that stand-ins can send what no library would."""
+"""Reads and builds HTTP/1.1 messages as bytes, so that stand-ins can send malformed ones."""
 
 import asyncio
 import socket
@@ -9,15 +9,14 @@
 
 import orjson
 
-# End of a line.
 CRLF = b"\r\n"
-# Value of SO_LINGER with which a close sends a reset.
+# SO_LINGER value (on, 0 s) with which closing a socket sends a TCP reset.
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 @dataclass(frozen=True)
 class RawRequest:
-    """A request as it came."""
+    """A request as received; header names in lower case."""
 
     method: str
     target: str
@@ -26,30 +25,30 @@
 
     @property
     def request_id(self) -> str:
-        """Return the name of the request."""
+        """Return the Request-Id header, empty if there is none."""
         return self.headers.get("request-id", "")
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """Return the path of the target, without the query."""
         return urlsplit(self.target).path
 
     @property
     def query(self) -> dict[str, str]:
-        """Return the query's fields."""
+        """Return the fields of the query; of a repeated one the last."""
         return dict(parse_qsl(urlsplit(self.target).query))
 
     def json(self) -> Any:
-        """Return the decoded body."""
+        """Return the body decoded from JSON."""
         return orjson.loads(self.body)
 
 
 @dataclass(frozen=True)
 class RawAnswer:
-    """An answer as it came.
+    """An answer as received; header names in lower case.
 
     Attributes:
-      is_complete: Whether its framing says that it is complete.
+      is_complete: Whether the body was received to the end that its length or chunks announce.
     """
 
     status: int
@@ -60,22 +59,22 @@
 
 @dataclass(eq=False)
 class Connection:
-    """One connection of a stand-in."""
+    """A TCP connection that a stand-in has accepted."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     async def send(self, data: bytes) -> None:
-        """Send bytes."""
+        """Write bytes and wait until the buffer has room again."""
         self.writer.write(data)
         await self.writer.drain()
 
     def close(self) -> None:
-        """End the connection when all is sent."""
+        """Close the connection after all buffered bytes are sent."""
         self.writer.close()
 
     def reset(self) -> None:
-        """End the connection with a reset."""
+        """Close the connection with a TCP reset."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.writer.transport.abort()
@@ -92,7 +91,7 @@
     """Read one request.
 
     Raises:
-      asyncio.IncompleteReadError: The connection ended.
+      asyncio.IncompleteReadError: The connection closed before the end of the request.
     """
     raw = await reader.readuntil(CRLF + CRLF)
     start, headers = parse_head(raw[:-4])
@@ -102,7 +101,11 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> RawAnswer:
-    """Read one answer, as far as it comes."""
+    """Read one answer; its body may be cut short if the connection closes.
+
+    Raises:
+      asyncio.IncompleteReadError: The connection closed before the end of the headers.
+    """
     raw = await reader.readuntil(CRLF + CRLF)
     start, headers = parse_head(raw[:-4])
     status = int(start.split(" ")[1])
@@ -118,7 +121,7 @@
 
 
 async def _read_chunks(reader: asyncio.StreamReader) -> tuple[bytes, bool]:
-    """Return a chunked body and whether it came to its end."""
+    """Return a chunked body, and whether its last chunk was received."""
     body = b""
     try:
         while True:
@@ -132,7 +135,7 @@
 
 
 def message(start: str, body: bytes, **headers: str) -> bytes:
-    """Return a message; header names are written with underscores, empty ones are left out."""
+    """Return a message; header names are given with underscores, and empty headers are left out."""
     lines = "".join(
         f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items() if value
     )
@@ -142,7 +145,7 @@
 def answer(
     request_id: str, body: bytes, status: int = 200, signature: str = "sig", **headers: str
 ) -> bytes:
-    """Return an answer with a length, as an endpoint sends it."""
+    """Return an endpoint's answer with a Content-Length; extra headers override its own."""
     fields = {
         "Request_Id": request_id,
         "Response_Signature": signature,
@@ -152,30 +155,30 @@
 
 
 def stream_head(request_id: str, signature: str = "sig", **headers: str) -> bytes:
-    """Return the head of a chunked stream of events, with further headers if there are any."""
+    """Return the status line and headers of a chunked event stream."""
     fields = {"Request_Id": request_id, "Response_Signature": signature}
     framing = {"Content_Type": "text/event-stream", "Transfer_Encoding": "chunked"}
     return message("HTTP/1.1 200 OK", b"", **fields, **framing, **headers)
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a chunk; an empty one ends the body."""
+    """Return data as one chunk; empty data gives the last chunk, which ends the body."""
     return f"{len(data):x}\r\n".encode() + data + CRLF
 
 
 def event(number: int) -> bytes:
-    """Return an event of a stream."""
+    """Return a server-sent event with this number as its id."""
     return f"id: {number}\ndata: piece-{number}\n\n".encode()
 
 
 async def fetch(
     address: str, method: str, path: str, body: bytes = b"", timeout_s: float = 5.0, **headers: str
 ) -> RawAnswer:
-    """Send a request on a connection of its own and return its answer.
+    """Send a request on a new connection and return its answer.
 
     Raises:
-      OSError: Nobody listens there, the connection broke or ended without an answer, or nothing
-        came within timeout_s.
+      OSError: Nothing listens there, the connection failed or closed without an answer, or the
+        answer took longer than timeout_s.
     """
     host, _, port = address.rpartition(":")
     async with asyncio.timeout(timeout_s):
--- a/packages/springbridge-standins/springbridge_standins/known_red.py
+++ b/packages/springbridge-standins/springbridge_standins/known_red.py
@@ -1,23 +1,25 @@
-"""Reads KNOWN-RED.txt: the tests that fail for a known fault which is not mended yet.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault not yet fixed.
 
-The test command passes over just these and prints them, so that a fault can be committed as a
-failing test before its repair. Each line has three parts between bars: the test (file and function,
-all its cases), the cause, and where the fault is tracked.
+The test command ignores failures of just these tests and prints the entries, so that a fault can be
+committed as a failing test before its fix. Each line has three parts separated by bars: the test
+(file and function, all its cases), the cause, and where the fault is tracked.
 """
 
 from dataclasses import dataclass
 from pathlib import Path
 
-# Most entries in the file; the users set it, so that the list cannot grow into a habit.
+# Limit set by the users, so that the list does not become a habit.
 MAX_ENTRIES = 3
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A test that may fail.
+    """An entry of the list: a test whose failure is ignored.
 
     Attributes:
       test: Path of its file from the root, two colons, and its function.
+      cause: Why it fails.
+      tracked: The issue of the fault.
     """
 
     test: str
@@ -26,10 +28,11 @@
 
 
 def read_known_red(root: Path) -> tuple[KnownRed, ...]:
-    """Return the entries of KNOWN-RED.txt below a folder; none where there is no such file.
+    """Return the entries of KNOWN-RED.txt in a folder, none if there is no such file.
 
     Raises:
-      ValueError: A line has other parts, names no test that exists, or is one too many.
+      ValueError: A line is malformed or names a test that does not exist, or there are more than
+        MAX_ENTRIES.
     """
     path = root / "KNOWN-RED.txt"
     if not path.exists():
@@ -53,6 +56,6 @@
 
 
 def find(entries: tuple[KnownRed, ...], test_id: str) -> KnownRed | None:
-    """Return the entry of a test by the id that pytest gives one of its cases, or None."""
+    """Return the entry for a pytest id, whose parameters are ignored; None if there is no entry."""
     test = test_id.partition("[")[0]
     return next((entry for entry in entries if entry.test == test), None)
--- a/packages/springbridge-standins/springbridge_standins/known_red_test.py
+++ b/packages/springbridge-standins/springbridge_standins/known_red_test.py
@@ -1,4 +1,4 @@
-"""Tests of known_red.py: which failing tests are passed over."""
+"""Tests of known_red.py: which failing tests are ignored, and which lists are rejected."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def write(tmp_path):
-    """Return a function that writes the list, beside a file with one test."""
+    """Return a function that writes the list next to a file with one test."""
     (tmp_path / "some_test.py").write_text("def test_it():\n    pass\n")
 
     def write(*lines):
@@ -21,11 +21,11 @@
     return write
 
 
-def test_without_a_list_nothing_is_passed_over(tmp_path):
+def test_without_a_list_no_test_is_ignored(tmp_path):
     assert_that(read_known_red(tmp_path), Equals(()))
 
 
-def test_all_cases_of_a_listed_test_are_passed_over_and_no_other(write):
+def test_all_cases_of_a_listed_test_are_ignored_and_no_other(write):
     entries = read_known_red(write(LINE))
     assert_that(find(entries, "some_test.py::test_it[3]"), Is(entries[0]))
     assert_that(find(entries, "some_test.py::test_it_not"), Is(None))
@@ -40,7 +40,7 @@
         [LINE] * 4,
     ],
 )
-def test_a_list_that_is_wrong_is_refused(write, lines):
+def test_a_malformed_list_is_rejected(write, lines):
     root = write(*lines)
     with pytest.raises(ValueError):
         read_known_red(root)
--- a/packages/springbridge-standins/springbridge_standins/lease_histories.py
+++ b/packages/springbridge-standins/springbridge_standins/lease_histories.py
@@ -1,8 +1,9 @@
-"""Drawn histories of a lease: real keepers on a store that fails in every way that one may.
+"""Random histories of a lease: real lease keepers on a simulated store with faults.
 
-Nodes freeze, are killed and start again, change rankings in the ranking and are cut off. The store
-loses answers, does calls seconds later, is down, and comes back from an older copy. All the while
-whoever may call does so, and each call is checked against those before it.
+Nodes freeze, are killed and restarted, change their ranking and lose the connection to the store.
+The store loses answers, executes calls seconds later, is down, and is restored from older copies.
+All along, each node that holds the lease makes duty calls, and each call is checked against the
+earlier ones.
 """
 
 import asyncio
@@ -19,23 +20,23 @@
 
 from springbridge_standins.virtual_loop import run_virtual
 
-# Seconds of one history.
+# Virtual length of one history.
 HISTORY_S = 40.0
-# Nodes; more than there are candidates.
+# More nodes than there are candidates (3).
 NODES = 5
-# Length of the lease, and the time within which holders A, B, A are too many, in seconds.
+# Length of the lease; also the time within which the lease may not go from A to B and back to A.
 LEASE_S = 3.0
-# Seconds that a duty call may take, and between two calls.
+# Longest duty call, and the pause between two.
 CALL_S, CALL_INTERVAL_S = 0.8, 0.1
-# Seconds for which a node waits for the store.
+# Time after which a node gives up a call to the store.
 TIMEOUT_S = 1.2
-# Longest time after which a call without an answer may still be done.
+# Longest time after which the store may still execute a call that got no answer.
 MAX_LATE_CALL_S = 4.0
 
 
 @dataclass(frozen=True)
 class DutyCall:
-    """A duty call as the platform would see it."""
+    """A duty call as the platform would receive it."""
 
     at_s: float
     node_name: str
@@ -44,7 +45,7 @@
 
 @dataclass
 class SimulatedStore:
-    """One row, its era, and the copies that the store may come back from."""
+    """A store with one row, its era, and copies that it may be restored from."""
 
     rng: random.Random
     era: int = 0
@@ -56,45 +57,48 @@
     copies: list[tuple[int, LeaseRow | None, int]] = field(default_factory=list)
 
     def reading(self) -> LeaseReading:
-        """Return the row as it is."""
+        """Return the current row with its stamp and the time."""
         now_s = asyncio.get_running_loop().time()
         return LeaseReading(stamp(self.era, self.row_revision), self.row, now_s)
 
     def write(self, row: LeaseRow, expected_stamp: int) -> Result[LeaseReading, Problem]:
-        """Write the row if its stamp is still the one of before."""
+        """Write the row if its stamp is still the expected one, else VERSION_CONFLICT."""
         if stamp(self.era, self.row_revision) != expected_stamp:
             return Failure(Problem(Code.VERSION_CONFLICT))
-        # Other rows are written as well.
+        # Writes of other rows advance the revision too.
         self.revision += self.rng.randint(1, 4)
         self.row, self.row_revision = row, self.revision
         return Success(self.reading())
 
     def write_late(self, row: LeaseRow, expected_stamp: int) -> None:
-        """Do a call that got no answer; the store itself knows nothing of eras in conditions."""
+        """Execute a write that got no answer.
+
+        The store compares revisions only, so the expected era is replaced by the current one.
+        """
         self.write(row, stamp(self.era, expected_stamp - stamp(era_of(expected_stamp), 0)))
 
     def copy(self) -> None:
-        """Take a copy."""
+        """Take a copy that the store may be restored from."""
         self.copies.append((self.revision, self.row, self.row_revision))
 
     def go_back(self) -> None:
-        """Come back from a copy of the last seconds."""
+        """Restore one of the last five copies, if there are any, and begin a new era."""
         if self.copies:
             self.revision, self.row, self.row_revision = self.rng.choice(self.copies[-5:])
             self.era += 1
 
 
 class NodeStoreClient:
-    """The store as one node reaches it; its answers wait while the node is frozen."""
+    """One node's access to the store; answers are delayed while the node is frozen."""
 
     def __init__(self, store: SimulatedStore, node: "SimulatedNode") -> None:
-        """Keep both."""
+        """Start without an era seen."""
         self._store = store
         self._node = node
         self._era = 0
 
     async def read_lease(self, duty: str) -> Result[LeaseReading, Problem]:
-        """Return the row."""
+        """Return the row; TABLE_UNAVAILABLE if the store does not answer."""
         if not await self._send_request():
             return Failure(Problem(Code.TABLE_UNAVAILABLE))
         return await self._receive_answer(Success(self._store.reading()), self._store.era)
@@ -102,7 +106,7 @@
     async def write_lease(
         self, duty: str, row: LeaseRow, before: int
     ) -> Result[LeaseReading, Problem]:
-        """Write the row; the answer may be lost, and the call done later."""
+        """Write the row; the answer may be lost and the write executed later."""
         if era_of(before) != self._era:
             return Failure(Problem(Code.VERSION_CONFLICT))
         store, loop = self._store, asyncio.get_running_loop()
@@ -116,12 +120,12 @@
             return Failure(Problem(Code.TABLE_UNAVAILABLE))
         era = store.era
         if era_of(before) != era:
-            # The condition holds a bare revision, which may be there again by chance.
+            # The condition holds a bare revision, which the new era may have again by chance.
             before = stamp(era, before - stamp(era_of(before), 0))
         return await self._receive_answer(store.write(row, before), era)
 
     async def _send_request(self) -> bool:
-        """Take the way to the store, and return whether it answers."""
+        """Delay a call as the network would, and return whether it reaches the store."""
         store, loop = self._store, asyncio.get_running_loop()
         await asyncio.sleep(0.002 + store.rng.random() * 0.05)
         await self._node.wait_while_frozen()
@@ -132,7 +136,7 @@
         return True
 
     async def _receive_answer(self, result, era: int) -> Result[LeaseReading, Problem]:
-        """Take the way back; an answer of an earlier era than one seen is none."""
+        """Delay an answer as the network would; drop it if a later era has been seen."""
         await asyncio.sleep(0.002 + self._store.rng.random() * 0.05)
         await self._node.wait_while_frozen()
         if era < self._era:
@@ -142,10 +146,10 @@
 
 
 class SimulatedNode:
-    """A node_name, and the run of the keeper on it."""
+    """A node with its lease keeper; a restart begins a new incarnation."""
 
     def __init__(self, history: "LeaseHistory", number: int) -> None:
-        """Start the first run."""
+        """Start the first incarnation."""
         self.name = f"node-{number}"
         self.ranking = number
         self.cut_until_s = 0.0
@@ -156,7 +160,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start a run, which knows nothing of those before."""
+        """Start a new incarnation, without any state of earlier ones."""
         self._runs += 1
         incarnation = f"{self.name}.{self._runs}"
         loop = asyncio.get_running_loop()
@@ -174,26 +178,26 @@
         ]
 
     def kill(self) -> None:
-        """End the run without a word."""
+        """Stop the incarnation without releasing the lease."""
         for task in self._tasks:
             task.cancel()
 
     def freeze(self, seconds: float) -> None:
-        """Stand still."""
+        """Pause all work of the node for some seconds."""
         self._frozen_until_s = asyncio.get_running_loop().time() + seconds
 
     async def wait_while_frozen(self) -> None:
-        """Wait until the node runs."""
+        """Wait until the node is no longer frozen."""
         loop = asyncio.get_running_loop()
         while loop.time() < self._frozen_until_s:
             await asyncio.sleep(self._frozen_until_s - loop.time() + 0.001)
 
     def rank(self) -> int:
-        """Return the node's place in the ranking."""
+        """Return the node's ranking, 0 for the first."""
         return self.ranking
 
     def include_me(self) -> bool:
-        """Return whether the node is among the candidates."""
+        """Return whether the node is among the three candidates."""
         return self.ranking < 3
 
     async def _keep(self) -> None:
@@ -213,22 +217,22 @@
 
 
 class LeaseHistory:
-    """One drawn history, and what broke the rules in it.
+    """One random history, and the violations found in it.
 
     Attributes:
-      calls: All duty calls in their order.
-      violations: What was wrong, a line each.
+      calls: All duty calls in order.
+      violations: A line for each violation.
     """
 
     def __init__(self, seed: int) -> None:
-        """Draw from a seed."""
+        """Prepare a history; the same seed gives the same one."""
         self.rng = random.Random(seed)
         self.store = SimulatedStore(self.rng)
         self.calls: list[DutyCall] = []
         self.violations: list[str] = []
 
     def record_call(self, node_name: str, token: int) -> None:
-        """Check a duty call against those before it."""
+        """Check a duty call against the earlier ones, and record it."""
         call = DutyCall(asyncio.get_running_loop().time(), node_name, token)
         highest = max(self.calls, key=lambda each: each.token, default=call)
         if token < highest.token:
@@ -242,7 +246,7 @@
         self.calls.append(call)
 
     async def play(self) -> None:
-        """Play the history."""
+        """Run the nodes, with random faults at pauses of up to 3 s, for HISTORY_S."""
         nodes = [SimulatedNode(self, number) for number in range(NODES)]
         faults: list[Callable[[list[SimulatedNode]], None]] = [
             self._freeze,
@@ -300,7 +304,7 @@
 
 
 def play_history(seed: int) -> LeaseHistory:
-    """Play the history of a seed to its end."""
+    """Run the history of a seed to its end in virtual time."""
     history = LeaseHistory(seed)
     run_virtual(history.play())
     return history
--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -230,7 +230,7 @@
         f"{LIBRARY}/trials.py",
         "        if now_s < due_s:",
         "        if False:",
-        f"{SIMULATION}::test_a_request_that_ends_endpoints_reaches_few_more",
+        f"{SIMULATION}::test_a_poison_request_reaches_few_endpoints_after_its_third_crash",
     ),
     Mutant(
         "suspects of the same crashes are tried apart",
--- a/packages/springbridge-standins/springbridge_standins/pages.py
+++ b/packages/springbridge-standins/springbridge_standins/pages.py
@@ -1,7 +1,7 @@
-"""What the pages name and what the sources have, for the test that compares them.
+"""Extracts names from the documentation and from the sources, for the test that compares them.
 
-It reads files and runs nothing. Owns how a page is read: links and names count in sentences and
-tables, not in drawings and listings.
+Files are only read, nothing is run. In a page, links and names count in sentences and tables, not in
+drawings and code blocks.
 """
 
 import ast
@@ -28,24 +28,24 @@
 
 
 def text_of(page: str) -> str:
-    """Return a page."""
+    """Return the text of a page, given by its path from the root."""
     return (ROOT / page).read_text()
 
 
 def prose_of(page: str) -> str:
-    """Return a page without its drawings and listings, in fences or indented."""
+    """Return a page without its fenced and indented blocks (drawings and listings)."""
     return INDENTED.sub("", FENCE.sub("", text_of(page)))
 
 
 def code_spans(page: str) -> Iterator[str]:
-    """Yield what a page sets in code type inside its sentences."""
+    """Yield the inline code spans of a page."""
     for found in CODE.finditer(prose_of(page)):
         yield found[1].strip()
 
 
 @cache
 def source_files() -> tuple[Path, ...]:
-    """Return all files that pages may name, but for the runs' records."""
+    """Return all files that pages may name, without the records of runs."""
     folders = (path for name in SOURCE_FOLDERS for path in (ROOT / name).rglob("*"))
     found = [path for path in folders if path.is_file() and "__pycache__" not in path.parts]
     return tuple(found + [path for path in ROOT.iterdir() if path.is_file()])
@@ -53,30 +53,30 @@
 
 @cache
 def python_files() -> tuple[Path, ...]:
-    """Return all Python files but tests."""
+    """Return all Python files except tests."""
     return tuple(path for path in source_files() if path.suffix == ".py" and not is_test(path))
 
 
 def is_test(path: Path) -> bool:
-    """Return whether a file holds tests."""
+    """Return whether a file is a test module."""
     return path.name.endswith("_test.py")
 
 
 @cache
 def python_text() -> str:
-    """Return the text of all Python files but tests."""
+    """Return the joined text of all Python files except tests."""
     return "\n".join(path.read_text() for path in python_files())
 
 
 @cache
 def text_of_tests() -> str:
-    """Return the text of all tests."""
+    """Return the joined text of all test modules."""
     return "\n".join(path.read_text() for path in source_files() if is_test(path))
 
 
 @cache
 def assigned_names() -> frozenset[str]:
-    """Return the names that modules and classes assign: constants and members of enumerations."""
+    """Return all assigned names, among them constants and enum members."""
     found: set[str] = set()
     for path in python_files():
         for node in ast.walk(ast.parse(path.read_text())):
@@ -89,7 +89,7 @@
 
 @cache
 def constant_values() -> dict[str, set[float]]:
-    """Return the numbers that modules assign to each constant; one name may stand in several."""
+    """Return the numbers assigned to each module constant; modules may share a name."""
     found: dict[str, set[float]] = {}
     for path in python_files():
         for node in ast.parse(path.read_text()).body:
@@ -102,7 +102,7 @@
 
 
 def is_arithmetic(value: ast.expr) -> bool:
-    """Return whether an expression has numbers and operators only, so that it can be worked out."""
+    """Return whether an expression has numbers and operators only, so that it can be evaluated."""
     return all(
         isinstance(part, ast.BinOp | ast.operator)
         or (isinstance(part, ast.Constant) and isinstance(part.value, int | float))
@@ -112,13 +112,13 @@
 
 @cache
 def log_types() -> frozenset[str]:
-    """Return the types of all log lines, without the prefix."""
+    """Return the types of all log events, without the prefix springbridge."""
     return frozenset(re.findall(r"\bevent\(\s*\"([a-z_.]+)\"", python_text()))
 
 
 @cache
 def log_fields() -> dict[str, set[str]]:
-    """Return the fields of each log type that are given by name."""
+    """Return the keyword fields of each log type."""
     found: dict[str, set[str]] = {}
     for path in python_files():
         for node in ast.walk(ast.parse(path.read_text())):
@@ -132,7 +132,7 @@
 
 
 def log_rows(page: str) -> Iterator[tuple[list[str], set[str]]]:
-    """Yield the types and the fields of each row in a page's tables of log lines."""
+    """Yield the types and the fields of each row in a page's tables of log events."""
     for types, fields in LOG_ROW.findall(text_of(page)):
         names = [LOG_TYPE.match(span) for span in CODE.findall(types)]
         if all(names) and fields.strip() != "as above":
@@ -140,20 +140,20 @@
 
 
 def log_types_named(page: str) -> set[str]:
-    """Return the log types that a page names; `scheduler.py` is a module."""
+    """Return the log types that a page names; `scheduler.py` is a module, not a log type."""
     found = {LOG_TYPE.match(span) for span in code_spans(page) if not MODULE_FILE.match(span)}
     return {match[1] for match in found - {None}}
 
 
 def is_file_of_sources(name: str) -> bool:
-    """Return whether a path, or its end, is that of a file."""
+    """Return whether a name is a path of a source file, its end, or a generated file."""
     if name.startswith(GENERATED_FOLDERS):
         return True
     return any(f"/{path.as_posix()}".endswith(f"/{name.lstrip('./')}") for path in source_files())
 
 
 def is_module_or_member(name: str) -> bool:
-    """Return whether a dotted name leads to a package, a module, or a name in a module."""
+    """Return whether a dotted name is that of a package, a module, or a name used in a module."""
     parts = name.split(".")
     for roots in (ROOT.glob("packages/*"), ROOT.glob("platform")):
         for root in roots:
@@ -167,7 +167,7 @@
 
 
 def is_class_or_member(name: str) -> bool:
-    """Return whether a class exists in the sources or in Python, and has the member named."""
+    """Return whether a class is in the sources and its body has the member, or it is a builtin."""
     kind, _, member = name.partition(".")
     if hasattr(builtins, kind):
         return True
--- a/packages/springbridge-standins/springbridge_standins/proxy.py
+++ b/packages/springbridge-standins/springbridge_standins/proxy.py
@@ -1,20 +1,20 @@
-"""A loopback proxy that delays, resets or silences the connections through it, or cuts each way."""
+"""A loopback TCP proxy that can delay, reset or block its connections, also in one direction."""
 
 import asyncio
 import contextlib
 from collections.abc import AsyncIterator
 from enum import Enum
 
-# Bytes that are read at once; any size does.
+# Any size works.
 READ_BYTES = 65536
-# Delay of each piece; long beside a loopback's microseconds, short beside a deadline of 3 s.
+# Delay of each read: long compared to loopback (microseconds), short compared to a 3 s deadline.
 DELAY_S = 0.15
-# How often a silenced direction looks whether it may go on.
+# Interval at which a blocked direction checks whether it may continue.
 SILENCE_POLL_S = 0.05
 
 
 class ConnectionFault(Enum):
-    """What happens to connections; the order is part of what a soak's seed means."""
+    """Faults of connections; soak seeds depend on the order of the members."""
 
     NONE = "none"
     DELAY = "delay"
@@ -24,14 +24,15 @@
 
 
 class LoopbackProxy:
-    """Passes connections on to a target, with fault that can change at any moment.
+    """Forwards connections to a target, with a fault that can be changed at any time.
 
     Attributes:
-      fault: What happens to bytes from now on; RESET also ends the connections that are open.
+      fault: The fault for all bytes from now on; RESET also resets the open connections.
+      address: IP:port that it listens on, empty before the start.
     """
 
     def __init__(self, target: str) -> None:
-        """Keep the target's address."""
+        """Set the target, IP:port; no fault at first."""
         self._target = target
         self._fault = ConnectionFault.NONE
         self._writers: set[asyncio.StreamWriter] = set()
@@ -39,26 +40,30 @@
         self.address = ""
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
-        """Begin to listen; port 0 means any free each."""
+        """Listen on an address; port 0 means any free one.
+
+        Raises:
+          OSError: The address is in use.
+        """
         host, _, port = address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """Stop listening and close all connections."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self._close_all()
 
     @property
     def is_listening(self) -> bool:
-        """Return whether connections are accepted."""
+        """Return whether new connections are accepted."""
         return self._server is not None and self._server.is_serving()
 
     @property
     def fault(self) -> ConnectionFault:
-        """Return what happens to connections now."""
+        """Return the current fault."""
         return self._fault
 
     @fault.setter
@@ -68,11 +73,11 @@
             self._close_all()
 
     def disconnect(self) -> None:
-        """Break all connections and let no new each through."""
+        """Reset all connections, and every new one from now on."""
         self.fault = ConnectionFault.RESET
 
     def restore(self) -> None:
-        """Let connections through again."""
+        """End the fault; new connections are forwarded again."""
         self.fault = ConnectionFault.NONE
 
     def _close_all(self) -> None:
@@ -81,7 +86,7 @@
         self._writers.clear()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Pass each connection on."""
+        """Forward one connection to the target."""
         if self._fault is ConnectionFault.RESET:
             writer.transport.abort()
             return
@@ -104,7 +109,7 @@
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_response: bool
     ) -> None:
-        """Pass bytes on in each direction until they end."""
+        """Forward bytes in one direction until the sender closes it."""
         while piece := await reader.read(READ_BYTES):
             while self._fault is ConnectionFault.SILENCE or (
                 self._fault is ConnectionFault.ONE_WAY and is_response
@@ -119,7 +124,7 @@
 
 @contextlib.asynccontextmanager
 async def running_proxy(address: str, target: str) -> AsyncIterator[LoopbackProxy]:
-    """Run a proxy on an address."""
+    """Run a proxy on an address until the block ends."""
     proxy = LoopbackProxy(target)
     await proxy.start(address)
     try:
--- a/packages/springbridge-standins/springbridge_standins/soak_report.py
+++ b/packages/springbridge-standins/springbridge_standins/soak_report.py
@@ -1,15 +1,15 @@
-"""What both soaks print at their end."""
+"""Prints the result of a soak test: its violations and how often each kind of event happened."""
 
 from collections.abc import Mapping
 
 import typer
 
-# Violations that are shown; the first ones tell most.
+# Violations that are printed; the first ones say most about the cause.
 MAX_LISTED = 20
 
 
 def print_report(summary: str, violations: list[str], counts: Mapping[str, int]) -> None:
-    """Print how many violations there were, the first of them, and what happened how often."""
+    """Print the number of violations, the first MAX_LISTED of them, and all counts by name."""
     typer.echo(f"{summary}: {len(violations)} violations")
     for line in violations[:MAX_LISTED]:
         typer.echo(f"  VIOLATION {line}")
--- a/packages/springbridge-standins/springbridge_standins/usage_histories.py
+++ b/packages/springbridge-standins/springbridge_standins/usage_histories.py
@@ -1,9 +1,9 @@
-"""Drawn histories of usage reports: real keepers, sharings and reporters on a store that fails.
+"""Random histories of usage reports: real duty code of the nodes on a simulated store with faults.
 
-Instances count requests, tell each other in datagrams that may be lost, and report each window
-while they hold the lease. They freeze, are killed, cut off and replaced, change places in the
-ranking, and their clocks jump; the store is down and comes back from older copies, also several
-times in a row. What the platform gets is checked: a window has one report, and counts that were
+Instances count requests, share the counts in datagrams that may be lost, and report each window
+while they hold the lease. They freeze, are killed, disconnected and replaced, change their ranking,
+and their clocks jump; the store is down and is restored from older copies, also several times in a
+row. The reports that the platform receives are checked: a window has one report, and the counts
 reported are those that were decided.
 """
 
@@ -26,30 +26,30 @@
 from springbridge_standins.lease_histories import NODES, LeaseHistory, SimulatedNode
 from springbridge_standins.virtual_loop import run_virtual
 
-# Seconds of one history, and of one window.
+# Virtual length of one history, and of one window.
 HISTORY_S, WINDOW_S = 60.0, 5.0
-# Seconds since the start of 1970 at the start of a history, the start of a window.
+# Unix time at the start of a history; a window begins there.
 START_S = 1_000_000.0
-# Seconds between two requests that an instance counts, and between two looks for reports to send.
+# Mean time between two requests that an instance counts, and time between two reporter steps.
 REQUEST_INTERVAL_S, REPORT_STEP_S = 0.2, 0.5
-# Seconds after the end of a window after which a report counts as missed.
+# Time after the end of a window from which a missing report counts as missed.
 REPORT_DUE_S = 15.0
-# Places in the ranking that may record the lease.
+# Nodes whose ranking lets them acquire the lease.
 CANDIDATES = 3
-# Seconds on the way of a datagram.
+# Delay of a datagram.
 DATAGRAM_DELAY_S = 0.002
-# Largest jump of a clock, in seconds.
+# Largest jump of a clock, in either direction.
 CLOCK_JUMP_S = 3.0
 
 
 @dataclass(frozen=True)
 class Faults:
-    """What befalls a history.
+    """Faults that are injected into a history.
 
     Attributes:
-      kinds: Names of the faults, each a method of UsageHistory.
-      max_pause_s: Longest pause between two.
-      loss_rate: Part of the datagrams that are lost.
+      kinds: Names of the faults; "kill" selects the method _kill of UsageHistory.
+      max_pause_s: Longest pause between two faults, in seconds.
+      loss_rate: Share of the datagrams that are lost, and of the reports and of their answers.
     """
 
     kinds: tuple[str, ...] = (
@@ -69,18 +69,18 @@
 
 @dataclass
 class PlatformReports:
-    """The platform: what it was reported about each window, and what it was reported conflicts.
+    """Reports that the platform received, and conflicts between them.
 
     Attributes:
-      reports: Counts by window, as they were first reported.
-      conflicts: Windows with two counts, a line each.
+      reports: Counts by window, as first reported.
+      conflicts: A line for each later report of a window with different counts.
     """
 
     reports: dict[int, Counts] = field(default_factory=dict)
     conflicts: list[str] = field(default_factory=list)
 
     def record(self, instance: str, report: Report) -> None:
-        """Take a report."""
+        """Record a report of an instance."""
         first = self.reports.setdefault(report.window, dict(report.counts))
         if first != report.counts:
             self.conflicts.append(
@@ -89,16 +89,16 @@
 
 
 class ReportingNode(SimulatedNode):
-    """A machine with the run of an instance that counts and reports."""
+    """A node that counts requests, shares the counts and reports them."""
 
     def __init__(self, history: "UsageHistory", number: int) -> None:
-        """Start the first run."""
+        """Start the first incarnation, with a correct clock."""
         self.clock_ahead_s = 0.0
         self.handlers: dict[Kind, Handler] = {}
         super().__init__(history, number)
 
     def start(self) -> None:
-        """Start a run, which knows nothing of those before."""
+        """Start a new incarnation, without any state of earlier ones."""
         super().start()
         loop, history = asyncio.get_running_loop(), self._history
         self.incarnation = f"{self.name}.{self._runs}"
@@ -123,7 +123,7 @@
         ]
 
     def _wall_s(self) -> float:
-        """Return the time of day as the machine has it."""
+        """Return the Unix time by the node's clock."""
         return START_S + asyncio.get_running_loop().time() + self.clock_ahead_s
 
     async def _count(self) -> None:
@@ -146,20 +146,20 @@
 
 
 class SimulatedDatagrams:
-    """The datagrams of one node."""
+    """The datagram socket of one node."""
 
     def __init__(self, history: "UsageHistory", node: ReportingNode) -> None:
-        """Start with no handlers, as a run that has just begun."""
+        """Open a socket without handlers, as for a new incarnation."""
         self._history = history
         self._node = node
         node.handlers = {}
 
     def handle(self, kind: Kind, handler: Handler) -> None:
-        """Set who takes the rows of a kind."""
+        """Set the handler for datagrams of a kind."""
         self._node.handlers[kind] = handler
 
     def send(self, kind: Kind, rows: list, peer_addresses: list[str]) -> None:
-        """Send rows, each of which may be lost."""
+        """Send rows to each address; the datagram to each may be lost."""
         raw = orjson.dumps(rows)
         for node in self._history.nodes:
             if node.name in peer_addresses and self._history.datagram_arrives():
@@ -169,21 +169,21 @@
                 )
 
     def sample_peers(self, limit: int) -> list[str]:
-        """Return some other nodes."""
+        """Return the names of up to limit other nodes."""
         others = [node.name for node in self._history.nodes if node is not self._node]
         return others[:limit]
 
 
 class SimulatedPlatform:
-    """The platform as one node reaches it; calls or their answers may be lost."""
+    """One node's access to the platform; calls and their answers may be lost."""
 
     def __init__(self, history: "UsageHistory", node: ReportingNode) -> None:
-        """Keep both."""
+        """Connect a node to the platform of a history."""
         self._history = history
         self._node = node
 
     async def report_usage(self, credentials: Credentials, report: Report) -> Result[None, Problem]:
-        """Take a report, unless the call is lost."""
+        """Record a report unless the call is lost; TABLE_UNAVAILABLE if it or its answer is."""
         rng = self._history.rng
         await asyncio.sleep(rng.random() * 0.1)
         await self._node.wait_while_frozen()
@@ -196,15 +196,15 @@
 
 
 class UsageHistory(LeaseHistory):
-    """One drawn history of reports.
+    """One random history of usage reports.
 
     Attributes:
-      reported: What the platform got.
-      restores_s: Moments at which the store went back, in virtual seconds.
+      received: The reports that the platform received.
+      restores_s: When the store was restored from a copy, in virtual seconds.
     """
 
     def __init__(self, seed: int, faults: Faults) -> None:
-        """Draw from a seed."""
+        """Prepare a history; the same seed and faults give the same one."""
         super().__init__(seed)
         self.faults = faults
         self.received = PlatformReports()
@@ -212,17 +212,17 @@
         self.nodes: list[ReportingNode] = []
 
     def datagram_arrives(self) -> bool:
-        """Return whether a datagram datagram_arrives."""
+        """Draw whether a datagram arrives."""
         return self.rng.random() >= self.faults.loss_rate
 
     def missed_windows(self) -> int:
-        """Return how many windows that were over for REPORT_DUE_S got no report."""
+        """Return how many windows that ended REPORT_DUE_S or more ago got no report."""
         first = window_at(START_S, WINDOW_S)
         due = window_at(START_S + HISTORY_S - REPORT_DUE_S, WINDOW_S)
         return sum(window not in self.received.reports for window in range(first, due))
 
     async def play(self) -> None:
-        """Play the history."""
+        """Run the nodes and inject faults for HISTORY_S."""
         for number in range(NODES):
             self.nodes.append(ReportingNode(self, number))
         loop = asyncio.get_running_loop()
@@ -252,12 +252,12 @@
 
 
 def play_reports(seed: int, faults: Faults = Faults()) -> UsageHistory:
-    """Play the history of a seed to its end."""
+    """Run the history of a seed to its end in virtual time."""
     history = UsageHistory(seed, faults)
     run_virtual(history.play())
     return history
 
 
 def _deliver(handlers: dict[Kind, Handler], kind: Kind, raw: bytes) -> None:
-    """Give rows to the run that they were sent to, as they were sent."""
+    """Pass rows to the handler of the incarnation that they were sent to, decoded anew."""
     handlers[kind](orjson.loads(raw), "")
