--- a/bench/silence.py
+++ b/bench/silence.py
@@ -99,15 +99,15 @@
         silent = []
         for _ in range(round(WATCHED_S / HEARTBEAT_INTERVAL_S)):
             fleet.run(HEARTBEAT_INTERVAL_S)
-            shares.append(fleet.share_left_out())
-            silent.append(fleet.share_taken_for_silent())
+            shares.append(fleet.missing_share())
+            silent.append(fleet.false_silence_share())
         node_seconds = WATCHED_S * size
         return Sample(
             bytes_per_s=(fleet.network.sent_bytes - bytes_before) / node_seconds,
             core=(fleet.processor_s - processor_before_s) / node_seconds,
             left_out=sum(shares) / len(shares),
             silent=sum(silent) / len(silent),
-            named_s=fleet.seconds_named(size - 1),
+            named_s=fleet.removal_delay_s(size - 1),
         )
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/fleet_start_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/fleet_start_test.py
@@ -33,7 +33,7 @@
 def test_nodes_of_a_fleet_that_start_together_know_each_other_within_seconds(clock, size, lost):
     fleet = SimulatedFleet(clock, size, seed=5, loss=lost)
     fleet.run(FOUND_S)
-    assert_that(fleet.share_left_out(), LessThan(LEFT_OUT))
+    assert_that(fleet.missing_share(), LessThan(LEFT_OUT))
     assert_that(fleet.network.sent_bytes / size / FOUND_S, LessThan(BYTES_PER_S))
 
 
--- a/packages/springbridge-node/springbridge_node/gateway/peers/silent_member_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/peers/silent_member_test.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("size", NAMED_FOR_S)
 def test_a_node_that_lost_power_is_named_nowhere_within_seconds(make_fleet, size):
     fleet = make_fleet(size, seed=1)
-    assert_that(fleet.seconds_named(size - 1), LessThan(NAMED_FOR_S[size] + HEARTBEAT_INTERVAL_S))
+    assert_that(fleet.removal_delay_s(size - 1), LessThan(NAMED_FOR_S[size] + HEARTBEAT_INTERVAL_S))
 
 
 @pytest.mark.parametrize("size", NAMED_FOR_S)
@@ -48,7 +48,7 @@
     for number in range(size):
         fleet.restart(number)
     fleet.run(SETTLE_S)
-    assert_that(fleet.seconds_named(size - 1), LessThan(NAMED_FOR_S[size] + HEARTBEAT_INTERVAL_S))
+    assert_that(fleet.removal_delay_s(size - 1), LessThan(NAMED_FOR_S[size] + HEARTBEAT_INTERVAL_S))
 
 
 @pytest.mark.parametrize(("lost", "limit"), [(0.0, 0.001), (LOST, 0.01)])
@@ -58,5 +58,5 @@
     shares = []
     for _ in range(round(WATCHED_S / HEARTBEAT_INTERVAL_S)):
         fleet.run(HEARTBEAT_INTERVAL_S)
-        shares.append(fleet.share_left_out())
+        shares.append(fleet.missing_share())
     assert_that(sum(shares) / len(shares), LessThan(limit))
--- a/packages/springbridge-standins/springbridge_standins/gateway/__init__.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that speak the users' platform: its store, its engines and its callers, with faults."""
+"""Stand-ins of the users' platform: store, endpoints (engines), duty calls and callers."""
--- a/packages/springbridge-standins/springbridge_standins/gateway/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/caller.py
@@ -1,18 +1,18 @@
-"""Stand-in caller: sends requests on a connection that it keeps, and reads what comes."""
+"""Stand-in of a caller: sends requests on a persistent connection and reads the answers."""
 
 import asyncio
 import itertools
 
 from springbridge_standins.http_wire import RawAnswer, message, read_answer
 
-# Beyond the deadline of 3 s that each request names, with room for a busy machine.
+# Above the deadline of 3 s that each request has, with a margin for a busy machine.
 LONGEST_ANSWER_S = 10.0
 
 _numbers = itertools.count(1)
 
 
 def request_bytes(path: str, method: str = "GET", body: bytes = b"", **headers: str) -> bytes:
-    """Return a request; header names are written with underscores."""
+    """Return a request with a new request id; header names are given with underscores."""
     fields = {
         "Host": "desk.example",
         "Request_Id": f"r{next(_numbers)}",
@@ -24,7 +24,12 @@
 
 
 class CallerConnection:
-    """A caller's connection, used until the other side closes it or announces that it will."""
+    """A caller's persistent connection.
+
+    Attributes:
+      may_be_kept: Whether another request may be sent: the last answer was complete and the server
+        did not announce that it closes the connection.
+    """
 
     def __init__(
         self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -37,10 +42,10 @@
 
     @classmethod
     async def open(cls, address: str) -> "CallerConnection":
-        """Connect.
+        """Connect to an address.
 
         Raises:
-          OSError: Nobody listens there.
+          OSError: Nothing listens there.
         """
         host, _, port = address.rpartition(":")
         return cls(address, *await asyncio.open_connection(host, int(port)))
@@ -49,8 +54,8 @@
         """Send a request and return its answer.
 
         Raises:
-          asyncio.IncompleteReadError, ConnectionError: The connection ended without an answer.
-          TimeoutError: None came within LONGEST_ANSWER_S.
+          asyncio.IncompleteReadError, ConnectionError: The connection closed without an answer.
+          TimeoutError: No answer came within LONGEST_ANSWER_S.
         """
         self.may_be_kept = False
         self._writer.write(request_bytes(path, **options))
@@ -60,13 +65,13 @@
         return got
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection; no further request may be sent."""
         self.may_be_kept = False
         self._writer.close()
 
 
 async def ask(address: str, path: str, **options) -> RawAnswer:
-    """Send a request on a connection of its own and return its answer.
+    """Send a request on a new connection and return its answer.
 
     Raises:
       asyncio.IncompleteReadError: The connection closed without an answer.
--- a/packages/springbridge-standins/springbridge_standins/gateway/crashing.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/crashing.py
@@ -1,7 +1,7 @@
-"""Engines that end as soon as they run a marked request, and come back after a while.
+"""Stand-in endpoints (engines) that crash when they run a poison request, and are replaced later.
 
-As on the platform, an engine that ends leaves its entry on the list for a moment, every request
-that it has breaks with it, and the next one at its address has an id of its own.
+As on the platform, the entry of a crashed engine stays in the list for a moment, all its requests
+fail with it, and its replacement at the same address has a new id.
 """
 
 import asyncio
@@ -12,65 +12,66 @@
 from springbridge_standins.gateway.fleet import Fleet
 from springbridge_standins.http_wire import Connection, RawRequest
 
-# Beginning of the body of a request that ends the engines that run it.
-MARK = b"ends engines"
-# Seconds from the arrival of such a request to the end of its engine.
-RUNS_S = 0.05
-# Seconds for which the entry of an engine that ended stays on the list.
+# First bytes of the body of a poison request.
+POISON_MARK = b"ends engines"
+# Time from the arrival of a poison request to the crash of its engine.
+CRASH_DELAY_S = 0.05
+# Time for which the entry of a crashed engine stays in the list.
 LISTED_S = 0.3
-# Seconds until another engine runs at the address.
-DOWN_S = 0.6
+# Time from the crash until the replacement runs.
+RESTART_DELAY_S = 0.6
 
 
 @dataclass
 class CrashingEngines:
-    """The engines of one service of a fleet.
+    """The engines of one service of a fleet, and when they crashed.
 
     Attributes:
-      answers: How they answer other requests.
-      arrived_s: When marked requests arrived at engines, on the monotonic clock.
-      ended_s: When engines ended, on the same clock.
+      answers: Script that answers all other requests.
+      arrived_s: When poison requests arrived at engines, on the monotonic clock.
+      crashed_s: When engines crashed, on the same clock.
+      fleet: The running fleet, to be set before the first crash.
     """
 
     service: str
     answers: Script
     arrived_s: list[float] = field(default_factory=list)
-    ended_s: list[float] = field(default_factory=list)
+    crashed_s: list[float] = field(default_factory=list)
     fleet: Fleet | None = None
     _tasks: set[asyncio.Task] = field(default_factory=set)
 
     def scripts(self, count: int) -> dict[str, tuple[str, Script]]:
-        """Return the scripts of so many engines."""
+        """Return the scripts of count engines, by name."""
         return {
             f"i-{self.service}-{number}": (self.service, self.respond)
             for number in range(1, count + 1)
         }
 
     async def respond(self, request: RawRequest, connection: Connection) -> None:
-        """Answer a request, or end under it."""
-        if not request.body.startswith(MARK):
+        """Answer a request, or crash the engine if it is a poison request."""
+        if not request.body.startswith(POISON_MARK):
             await self.answers(request, connection)
             return
         self.arrived_s.append(time.monotonic())
-        await asyncio.sleep(RUNS_S)
-        self.end(request.headers["expected-instance"])
+        await asyncio.sleep(CRASH_DELAY_S)
+        self.crash(request.headers["expected-instance"])
 
-    def end(self, name: str) -> None:
-        """End an engine, and let another one start at its address."""
+    def crash(self, name: str) -> None:
+        """Crash an engine, and start a replacement at its address after RESTART_DELAY_S."""
         engine = self.fleet.engines.pop(name, None)
         if engine is None:
             return
         engine.stop()
-        self.ended_s.append(time.monotonic())
-        task = asyncio.ensure_future(self._start_anew(engine))
+        self.crashed_s.append(time.monotonic())
+        task = asyncio.ensure_future(self._start_replacement(engine))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _start_anew(self, old: EngineStandIn) -> None:
-        """Take an engine from the list, and start the next one at its address."""
+    async def _start_replacement(self, old: EngineStandIn) -> None:
+        """Remove the entry of a crashed engine, then start and list its replacement."""
         await asyncio.sleep(LISTED_S)
         await self.fleet.store.remove("servers", old.endpoint_id)
-        await asyncio.sleep(DOWN_S - LISTED_S)
+        await asyncio.sleep(RESTART_DELAY_S - LISTED_S)
         name, _, starts = old.endpoint_id.partition("+")
         engine = EngineStandIn(f"{name}+{int(starts or 0) + 1}", self.respond)
         engine.address = old.address
@@ -79,7 +80,7 @@
         await self.fleet.list_engine(engine.endpoint_id, self.service)
 
     def stop(self) -> None:
-        """Start no further engines."""
+        """Cancel pending replacements and stop all engines."""
         for task in self._tasks:
             task.cancel()
         for engine in self.fleet.engines.values():
--- a/packages/springbridge-standins/springbridge_standins/gateway/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in engine: records what arrives and answers as a script says."""
+"""Stand-in of an endpoint (engine): records its requests and answers them by a script."""
 
 import asyncio
 import contextlib
@@ -18,16 +18,16 @@
 
 
 class EngineStandIn(HttpStandIn):
-    """One engine.
+    """One engine, with a replaceable script.
 
     Attributes:
       script: Answers each request; tests replace it.
       arrived: Requests in the order of their arrival.
-      abandoned: Ids of requests whose connection closed before the script had ended.
+      abandoned: Ids of requests whose connection was closed before the script ended.
     """
 
     def __init__(self, endpoint_id: str, script: Script | None = None) -> None:
-        """Keep the name and the script."""
+        """Set the endpoint's id and its script, plain_answer by default."""
         super().__init__()
         self.endpoint_id = endpoint_id
         self.script = script or plain_answer
@@ -35,13 +35,13 @@
         self.abandoned: list[str] = []
 
     async def respond(self, request: RawRequest, connection: Connection) -> None:
-        """Run the script, and stop it when the caller closes the connection."""
+        """Run the script, and cancel it when the client closes the connection."""
         self.arrived.append(request)
         work = asyncio.ensure_future(self.script(request, connection))
         gone = asyncio.ensure_future(connection.reader.read(1))
         await asyncio.wait([work, gone], return_when=asyncio.FIRST_COMPLETED)
         gone.cancel()
-        # A reset is the caller's way to close, like the end that read() returns.
+        # A reset counts as a close, like the end of input that read() returns.
         with contextlib.suppress(asyncio.CancelledError, ConnectionError):
             await gone
         if not work.done():
@@ -52,27 +52,27 @@
 
 
 async def plain_answer(request: RawRequest, connection: Connection) -> None:
-    """Answer with a length."""
+    """Answer 200 with a Content-Length."""
     await connection.send(answer(request.request_id, b"whole"))
 
 
-async def turned_away(request: RawRequest, connection: Connection) -> None:
-    """Say that the request was not run."""
+async def not_executed(request: RawRequest, connection: Connection) -> None:
+    """Answer 503 with Not-Executed: the request was not run."""
     await connection.send(answer(request.request_id, b"", 503, signature="", Not_Executed="1"))
 
 
 async def other_endpoint(request: RawRequest, connection: Connection) -> None:
-    """Say that another engine has this address."""
+    """Answer 421: another engine has this address."""
     await connection.send(answer(request.request_id, b"", 421, signature=""))
 
 
 async def engine_error(request: RawRequest, connection: Connection) -> None:
-    """Fail the request."""
+    """Answer 500."""
     await connection.send(answer(request.request_id, b"failed", 500))
 
 
 async def reset_at_once(request: RawRequest, connection: Connection) -> None:
-    """Reset without an answer."""
+    """Reset the connection without an answer."""
     connection.reset()
 
 
@@ -82,7 +82,7 @@
 
 
 def stream_of(first: int, last: int, signature: str = "sig") -> Script:
-    """Return a script that streams events and ends."""
+    """Return a script that streams the events first to last and completes."""
 
     async def script(request: RawRequest, connection: Connection) -> None:
         await connection.send(stream_head(request.request_id, signature))
@@ -94,7 +94,7 @@
 
 
 def stream_then_reset(last: int) -> Script:
-    """Return a script that streams events and a half, and resets."""
+    """Return a script that streams events to last and part of the next, then resets."""
 
     async def script(request: RawRequest, connection: Connection) -> None:
         await connection.send(stream_head(request.request_id, "first"))
@@ -108,7 +108,7 @@
 
 
 def stream_forever() -> Script:
-    """Return a script that streams events without an end."""
+    """Return a script that streams an event every 20 ms without end."""
 
     async def script(request: RawRequest, connection: Connection) -> None:
         await connection.send(stream_head(request.request_id))
@@ -122,7 +122,7 @@
 
 
 def raw_bytes(data: bytes, then_close: bool = False, then_reset: bool = False) -> Script:
-    """Return a script that sends bytes as they are; ID in them becomes the request's id."""
+    """Return a script that sends bytes unchanged, except that ID becomes the request's id."""
 
     async def script(request: RawRequest, connection: Connection) -> None:
         await connection.send(data.replace(b"ID", request.request_id.encode()))
@@ -138,7 +138,7 @@
 def scripted(
     desk: Script | None = None, model: Script | None = None
 ) -> dict[str, tuple[str, Script]]:
-    """Return the scripts of a fleet in which both engines of a service do the same."""
+    """Return scripts for a fleet of two engines per service, both with the same script."""
     scripts: dict[str, tuple[str, Script]] = {}
     for service, script in (("desk", desk), ("model", model)):
         for number in (1, 2):
@@ -148,7 +148,7 @@
 
 
 def failing_first(first: Script, then: Script) -> Script:
-    """Return a script that two engines share: the first request fails, later ones do not."""
+    """Return a script, shared by two engines, that treats the first request differently."""
     seen: list[RawRequest] = []
 
     async def script(request: RawRequest, connection: Connection) -> None:
--- a/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/fleet.py
@@ -17,31 +17,31 @@
 from springbridge_standins.gateway.store import StoreStandIn
 from springbridge_standins.http_standin import running
 
-# The retry budget of the tests' nodes, a third of the soak's. Not measured; chosen.
-BUDGET = RetryBudgetLimits(ratio=0.2, slack=20, window_s=10.0)
+# Retry budget of the nodes in tests, a third of the soak's.
+RETRY_BUDGET = RetryBudgetLimits(ratio=0.2, slack=20, window_s=10.0)
 # Ports that each node listens on.
-PORTS = 6
+PORTS_PER_NODE = 6
 MakeOutside = Callable[[str], PlatformPorts]
 
 
 @dataclass
 class Fleet:
-    """The parts of a running fleet."""
+    """A running fleet: its store, its engines by name and its nodes."""
 
     store: StoreStandIn
     engines: dict[str, EngineStandIn]
     nodes: list[Gateway] = field(default_factory=list)
 
     def caller_address(self, number: int = 0) -> str:
-        """Return the address of a node for callers."""
+        """Return the address at which a node accepts callers."""
         return self.nodes[number].settings.addresses.callers
 
     def arrivals(self) -> int:
-        """Return how many requests have arrived at engines."""
+        """Return the number of requests received by all engines."""
         return sum(len(engine.arrived) for engine in self.engines.values())
 
     async def kill_engines(self, service: str) -> None:
-        """Kill all engines of a service; the platform's list still names them."""
+        """Stop all engines of a service; their entries stay in the platform's list."""
         for name, engine in self.engines.items():
             if service in name:
                 engine.stop()
@@ -55,7 +55,7 @@
     async def list_engine(
         self, name: str, service: str, state: str = "ready", **more: object
     ) -> None:
-        """Write an engine's entry into the platform's list, with further fields if any."""
+        """Write an engine's entry into the platform's list; more overrides or adds fields."""
         await list_engine(self.store, name, service, self.engines[name].address, state, **more)
 
 
@@ -68,7 +68,7 @@
     slots: int = 4,
     **more: object,
 ) -> None:
-    """Write an engine's entry into the platform's list, with further fields if there are any."""
+    """Write an engine's entry into the platform's list; more overrides or adds fields."""
     entry = {
         "service": service,
         "address": address,
@@ -83,7 +83,7 @@
 
 
 def route(name: str, kind: str, service: str, **fields: object) -> dict:
-    """Return a route of the operators' document under /NAME/."""
+    """Return a route of the operators' configuration document, with path prefix /NAME/."""
     plain = {
         "name": name,
         "host": "desk.example",
@@ -100,7 +100,7 @@
 
 
 def configuration(version: int, **changes: object) -> dict:
-    """Return an operators' document with a route of each kind."""
+    """Return an operators' configuration document with a route of each kind."""
     plain = {
         "version": version,
         "routes": [
@@ -130,9 +130,9 @@
     """Run a store, engines and nodes until the block ends.
 
     Args:
-      scripts: For each engine its service and how it answers.
-      zones: The zones of engines that do not stand in the usual one.
-      duties: What one node does for all.
+      scripts: For each engine its service and its script.
+      duties: Settings of the duties, which one node performs for all.
+      zones: Failure domains of engines that are not in perth-a.
     """
     async with contextlib.AsyncExitStack() as stack:
         store = StoreStandIn()
@@ -159,7 +159,7 @@
 
 
 async def replace_nodes(fleet: Fleet, make_outside: MakeOutside) -> None:
-    """End all nodes without a word, and start as many at other ports, which know none of them."""
+    """Stop all nodes without notice to each other, and start as many new ones at other ports."""
     old, fleet.nodes = fleet.nodes, []
     for gateway in old:
         gateway.datagrams.close()
@@ -172,15 +172,15 @@
 
 
 async def _stop(gateway: Gateway) -> None:
-    """Stop a node."""
+    """Refuse new requests at a node, and stop it."""
     gateway.refuse_new()
     await gateway.end()
 
 
 def _settings(nodes: int) -> list[GatewaySettings]:
-    """Return the settings of nodes, each with the others as its seeds."""
+    """Return settings for nodes, each with the others as its gossip seeds."""
     ips = [f"127.0.0.{number + 2}" for number in range(nodes)]
-    ports = free_ports(PORTS)
+    ports = free_ports(PORTS_PER_NODE)
     seeds = tuple(f"{ip}:{ports[3]}" for ip in ips)
     return [
         GatewaySettings(
@@ -190,7 +190,7 @@
             addresses=Addresses(*(f"{ip}:{port}" for port in ports[:5])),
             gossip_port=ports[5],
             seeds=tuple(seed for seed in seeds if not seed.startswith(f"{ip}:")),
-            budget=BUDGET,
+            budget=RETRY_BUDGET,
             grace_s=4.0,
             longest_ttl_s=5.0,
             drain_s=0.4,
@@ -200,10 +200,10 @@
 
 
 async def until(holds: Callable[[], bool], seconds: float = 10.0) -> None:
-    """Wait until something holds.
+    """Wait until a condition holds, checked every 10 ms.
 
     Raises:
-      TimeoutError: It did not within the time.
+      TimeoutError: It did not hold within the given seconds.
     """
     end_s = time.monotonic() + seconds
     while not holds():
--- a/packages/springbridge-standins/springbridge_standins/gateway/limited.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/limited.py
@@ -1,4 +1,4 @@
-"""Stand-in engines that name in their answers the rate of requests that they take."""
+"""Stand-in endpoints (engines) that announce a limit of their request rate in their answers."""
 
 import asyncio
 import time
@@ -14,37 +14,37 @@
     stream_head,
 )
 
-# Seconds that an answer takes, so that several requests are under way at a time.
+# Time per answer, so that several requests are in progress at once.
 WORK_S = 0.03
-# Number of the one event that a stream has.
+# Id of the single event of a stream.
 ONLY_EVENT = 1
 
 
 class LimitedEngines:
-    """Engines of one service, and what arrived at each.
+    """Engines of one service, their limits, and the arrivals at each.
 
     Attributes:
-      rates: The rate that an engine names now, in requests a second, by its number; it names none
-        without an entry.
+      rates: Limit that each engine announces now, in requests per second, by its number; without an
+        entry it announces none.
       arrived_s: When requests arrived at each engine, on the monotonic clock.
-      named_s: When each engine first named a rate, on the same clock.
+      first_named_s: When each engine first announced a limit, on the same clock.
     """
 
     def __init__(self, service: str, count: int) -> None:
-        """Start without a rate."""
+        """Start without any limit."""
         self.rates: dict[int, float | str] = {}
         self.arrived_s: list[list[float]] = [[] for _ in range(count)]
-        self.named_s: dict[int, float] = {}
+        self.first_named_s: dict[int, float] = {}
         self._service = service
 
     def scripts(self) -> dict[str, tuple[str, Script]]:
-        """Return the scripts of the fleet; the service's usual engines are among them."""
+        """Return the engines' scripts by name, to start a fleet with."""
         names = [f"i-{self._service}-{number + 1}" for number in range(len(self.arrived_s))]
         return {name: (self._service, self._script(number)) for number, name in enumerate(names)}
 
     def arrived_after(self, number: int, seconds: float) -> list[float]:
-        """Return when requests arrived that came so long after an engine first named a rate."""
-        first_s = self.named_s.get(number, float("inf"))
+        """Return the arrivals at an engine from some seconds after its first limit on."""
+        first_s = self.first_named_s.get(number, float("inf"))
         return [at_s for at_s in self.arrived_s[number] if at_s >= first_s + seconds]
 
     def _script(self, number: int) -> Script:
@@ -57,7 +57,7 @@
             headers = {}
             if rate is not None:
                 headers["Server_Limit"] = str(rate)
-                self.named_s.setdefault(number, time.monotonic())
+                self.first_named_s.setdefault(number, time.monotonic())
             if request.target.startswith(("/stream/", "/single/")):
                 await connection.send(stream_head(request.request_id, **headers))
                 await connection.send(chunk(event(ONLY_EVENT)))
@@ -68,8 +68,8 @@
         return script
 
 
-def most_in_window(arrived_s: list[float], seconds: float) -> int:
-    """Return the most arrivals in any span of some seconds; they are in order."""
+def max_in_window(arrived_s: list[float], seconds: float) -> int:
+    """Return the largest number of arrivals within any span of seconds; the times are sorted."""
     return max(
         (
             bisect_right(arrived_s, first_s + seconds) - number
--- a/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_news.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/simulated_crash_sharing.py
@@ -1,6 +1,6 @@
-"""How soon a simulated fleet knows of a request that ends endpoints, and in how many bytes.
+"""Simulates how fast crash reports spread in a fleet, and in how many bytes.
 
-Membership, gossip and the sharing of crashes are real; the clock and the datagrams are those of
+Membership, gossip and crash sharing are real; the clock and the datagrams are those of
 simulated_fleet.py.
 """
 
@@ -17,38 +17,38 @@
 from springbridge_standins.gateway.simulated_fleet import SimulatedClock, SimulatedFleet
 
 SERVICE = "model"
-# Seconds in which the fleet finds itself before a crash.
-SETTLES_S = 4.0
-# Seconds after which nodes that do not know yet are not waited for.
-LONGEST_S = 10.0
+# Time for the nodes to discover each other before the first crash.
+SETTLING_S = 4.0
+# Time after which a simulation stops waiting for nodes that do not know of a crash.
+MAX_WAIT_S = 10.0
 
 
 @dataclass
 class CrashNode:
-    """What a node knows of crashes."""
+    """A node's crash records, quarantine and crash sharing."""
 
     records: CrashRecords
     quarantine: Quarantine
     sharing: CrashSharing
 
     def knows(self, fingerprint: str) -> bool:
-        """Return whether a request is held back here."""
+        """Return whether this node suspects or quarantines a request."""
         return self.quarantine.verdict(fingerprint).standing is not Standing.FREE
 
 
-class CrashNews:
-    """A fleet in which each crash is seen by another node."""
+class CrashSharingFleet:
+    """A simulated fleet in which a random node detects each crash and shares it."""
 
     def __init__(self, clock: SimulatedClock, size: int, seed: int, loss: float = 0.0) -> None:
-        """Start the fleet and let it settle."""
+        """Start the fleet and let its nodes discover each other; loss is a share of datagrams."""
         self.fleet = SimulatedFleet(clock, size, seed, loss)
         self._clock = clock
         self._rng = random.Random(seed)
-        self.fleet.run(SETTLES_S)
+        self.fleet.run(SETTLING_S)
         self.nodes = {number: self.join(number) for number in self.fleet.nodes}
 
     def join(self, number: int) -> CrashNode:
-        """Let a running node share crashes."""
+        """Add crash sharing to a running node, with empty records."""
         node = self.fleet.nodes[number]
         records = CrashRecords(self._clock)
         coordinators = TrialCoordinators(node.membership)
@@ -57,22 +57,22 @@
         return CrashNode(records, Quarantine(records), sharing)
 
     def crash(self, fingerprint: str, crash: int, on_trial: bool = False) -> None:
-        """Let a node that is drawn see the end of an endpoint."""
+        """Record the crash of an endpoint at a random node, and share it."""
         node = self.nodes[self._rng.choice(list(self.nodes))]
         node.records.record_crash(fingerprint, crash, on_trial)
         node.sharing.share(fingerprint, SERVICE)
 
     def run(self, seconds: float) -> None:
-        """Let time pass in steps of one beat of all nodes."""
+        """Advance the time, with one step of crash sharing per node and heartbeat interval."""
         for _ in range(round(seconds / HEARTBEAT_INTERVAL_S)):
             self.fleet.run(HEARTBEAT_INTERVAL_S)
             for node in self.nodes.values():
                 asyncio.run(node.sharing.beat())
 
     def seconds_to_know(self, fingerprint: str) -> float:
-        """Return after how many seconds all nodes hold a request back."""
+        """Return the seconds until all nodes hold a request back, at most MAX_WAIT_S."""
         begun_s = self._clock.now_s
-        while not self.all_know(fingerprint) and self._clock.now_s < begun_s + LONGEST_S:
+        while not self.all_know(fingerprint) and self._clock.now_s < begun_s + MAX_WAIT_S:
             self.run(HEARTBEAT_INTERVAL_S)
         return self._clock.now_s - begun_s
 
--- a/packages/springbridge-standins/springbridge_standins/gateway/simulated_fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/simulated_fleet.py
@@ -1,7 +1,7 @@
-"""Nodes that gossip on a simulated clock: who counts whom as alive, and what it costs.
+"""Simulates gossip between nodes in virtual time: which nodes count as live, and at what cost.
 
-Only membership and gossip are real; nothing else of a node runs, and nothing stalls. That shows how
-soon a node that ended is left out by the rules alone, at sizes for which there are no machines.
+Only membership and gossip are real; nothing else of a node runs, and nothing stalls. This shows how
+soon the rules alone remove a node that has died, at sizes for which there are no machines.
 """
 
 import random
@@ -21,32 +21,32 @@
 from springbridge_node.gateway.peers.own_member import PACE, new_member
 
 FAILURE_DOMAINS = ("a", "b", "c", "d", "e")
-# Addresses that every node starts from, as the platform's settings give them.
+# Number of seed addresses that every node knows at its start, as from the platform's settings.
 SEEDS = 3
-# What every node states; only the length of its numbers matters, as on a running fleet.
+# State in every heartbeat; only the length of the numbers matters (as in a running fleet).
 CONFIG_VERSION = 650
 CONFIRMED_AGO_S = 0.31
 ENDPOINT_SNAPSHOT = SnapshotStatus(1_234_567_890_123_456_789, 0.21)
-# Seconds after which an ended node that is still named is not waited for any longer.
-LONGEST_NAMED_S = 60.0
+# Time after which a simulation stops waiting for the removal of a dead node.
+MAX_REMOVAL_S = 60.0
 
 Handler = Callable[[list, str], None]
 
 
 class SimulatedClock:
-    """A clock that the simulation moves, in seconds."""
+    """A clock in seconds that the simulation advances."""
 
     def __init__(self) -> None:
         """Start at a time that is not 0."""
         self.now_s = 100.0
 
     def __call__(self) -> float:
-        """Return the time."""
+        """Return the simulated time in seconds."""
         return self.now_s
 
 
 class SimulatedNetwork:
-    """Datagrams that reach their receivers at once, or are lost.
+    """A network that delivers datagrams at once or loses them.
 
     Attributes:
       loss: Share of the datagrams that are lost.
@@ -54,27 +54,27 @@
     """
 
     def __init__(self, rng: random.Random, loss: float) -> None:
-        """Start without a node."""
+        """Start without nodes."""
         self.loss = loss
         self.sent_bytes = 0
         self._rng = rng
         self._handlers: dict[str, dict[Kind, Handler]] = {}
 
     def join(self, address: str) -> "SimulatedDatagrams":
-        """Return the socket of a node, in place of an earlier one at that address."""
+        """Return a new socket for an address; it replaces an earlier one there."""
         self._handlers[address] = {}
         return SimulatedDatagrams(self, address)
 
     def leave(self, address: str) -> None:
-        """Let nothing reach an address any more."""
+        """Stop the delivery to an address."""
         del self._handlers[address]
 
     def handle(self, address: str, kind: Kind, handler: Handler) -> None:
-        """Set who takes the datagrams of a kind at an address."""
+        """Set the handler for datagrams of a kind at an address."""
         self._handlers[address][kind] = handler
 
     def deliver(self, kind: Kind, rows: list, sender: str, receivers: list[str]) -> None:
-        """Hand rows to the receivers' handlers."""
+        """Pass rows to the handler of each receiver, unless the datagram to it is lost."""
         data = orjson.dumps([int(kind), rows])
         for address in receivers:
             self.sent_bytes += len(data)
@@ -87,14 +87,14 @@
     """One node's socket on a simulated network, as gossip uses it."""
 
     def __init__(self, network: SimulatedNetwork, address: str) -> None:
-        """Keep the network and the node's address."""
+        """Open a socket at an address of the network."""
         self._network = network
         self._address = address
         self._membership: Membership | None = None
         self._rng: random.Random | None = None
 
     def handle(self, kind: Kind, handler: Handler) -> None:
-        """Set who takes the rows of a kind."""
+        """Set the handler for datagrams of a kind."""
         self._network.handle(self._address, kind, handler)
 
     def send(self, kind: Kind, rows: list, peer_addresses: list[str]) -> None:
@@ -102,18 +102,18 @@
         self._network.deliver(kind, rows, self._address, peer_addresses)
 
     def connect_peers(self, membership: Membership, rng: random.Random) -> None:
-        """Set whom sample_peers() draws from."""
+        """Set the membership that sample_peers() draws from."""
         self._membership, self._rng = membership, rng
 
     def sample_peers(self, limit: int) -> list[str]:
-        """Return the addresses of the peers that run, a random sample where there are more."""
+        """Return the addresses of the reachable peers, a random sample if they exceed the limit."""
         peers = [member.peer_address for member in self._membership.reachable()]
         return peers if len(peers) <= limit else self._rng.sample(peers, limit)
 
 
 @dataclass
 class SimulatedNode:
-    """One running node."""
+    """The simulated parts of a running node."""
 
     membership: Membership
     gossip: Gossip
@@ -121,11 +121,11 @@
 
 
 class SimulatedFleet:
-    """Nodes that beat in turn, each once in HEARTBEAT_INTERVAL_S.
+    """Nodes that send heartbeats in turn, each once per HEARTBEAT_INTERVAL_S.
 
     Attributes:
       nodes: The running nodes by their number.
-      processor_s: Processor time of all nodes together on this machine, in seconds.
+      processor_s: CPU seconds used by all nodes together.
     """
 
     def __init__(self, clock: SimulatedClock, size: int, seed: int, loss: float = 0.0) -> None:
@@ -139,7 +139,7 @@
         self.nodes = {number: self._start(number) for number in range(size)}
 
     def _start(self, number: int) -> SimulatedNode:
-        """Return a new node at the address of its number."""
+        """Return a new node with a new incarnation at the address of its number."""
         self._started += 1
         address = _peer_address(number)
         failure_domain = FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
@@ -153,36 +153,36 @@
         return SimulatedNode(membership, gossip, datagrams)
 
     def run(self, seconds: float) -> None:
-        """Let time pass in steps of one node's turn."""
+        """Advance the time; each node sends one heartbeat per HEARTBEAT_INTERVAL_S."""
         for _ in range(round(seconds / HEARTBEAT_INTERVAL_S)):
             start_s = process_time()
             for number in range(self.size):
                 self._clock.now_s += HEARTBEAT_INTERVAL_S / self.size
                 if number in self.nodes:
-                    _beat(self.nodes[number])
+                    _send_heartbeat(self.nodes[number])
             self.processor_s += process_time() - start_s
 
     def power_off(self, number: int) -> None:
-        """End a node without a word."""
+        """Stop a node without notice to its peers."""
         del self.nodes[number]
         self.network.leave(_peer_address(number))
 
     def restart(self, number: int) -> None:
-        """End a node without a word, and start it anew at the same address."""
+        """Stop a node without notice, and start a new incarnation at the same address."""
         self.nodes[number] = self._start(number)
 
-    def seconds_named(self, number: int) -> float:
-        """End a node, and return for how long a caller may still be sent there."""
+    def removal_delay_s(self, number: int) -> float:
+        """Stop a node, and return for how many seconds callers may still be directed to it."""
         self.power_off(number)
         off_s = self._clock.now_s
-        while self._names(number) and self._clock.now_s < off_s + LONGEST_NAMED_S:
+        while self._is_named(number) and self._clock.now_s < off_s + MAX_REMOVAL_S:
             self.run(HEARTBEAT_INTERVAL_S)
         return self._clock.now_s - off_s
 
-    def _names(self, number: int) -> bool:
-        """Return whether a node still counts the node of a number as live.
+    def _is_named(self, number: int) -> bool:
+        """Return whether any node still counts a node as live.
 
-        The directory answers from the live members.
+        The directory gives callers the addresses of live members.
         """
         address = _caller_address(number)
         return any(
@@ -191,8 +191,8 @@
             for member in node.membership.live()
         )
 
-    def share_left_out(self) -> float:
-        """Return the share of pairs of running nodes of which one does not count the other."""
+    def missing_share(self) -> float:
+        """Return the share of pairs of running nodes of which one omits the other."""
         counted = Counter(
             incarnation
             for node in self.nodes.values()
@@ -201,8 +201,8 @@
         running = [node.membership.me.incarnation for node in self.nodes.values()]
         return 1 - sum(counted[incarnation] for incarnation in running) / len(running) ** 2
 
-    def share_taken_for_silent(self) -> float:
-        """Return the share of pairs of running nodes of which one knows the other as silent."""
+    def false_silence_share(self) -> float:
+        """Return the share of pairs of running nodes of which one takes the other for silent."""
         running = {node.membership.me.incarnation for node in self.nodes.values()}
         silent = 0
         for node in self.nodes.values():
@@ -211,8 +211,8 @@
         return silent / len(running) ** 2
 
 
-def _beat(node: SimulatedNode) -> None:
-    """Send a node's heartbeat, as a ready node does."""
+def _send_heartbeat(node: SimulatedNode) -> None:
+    """Advance a node's heartbeat and gossip it, as a ready node does."""
     node.membership.beat(CONFIG_VERSION, CONFIRMED_AGO_S, False, ENDPOINT_SNAPSHOT)
     node.gossip.send(node.membership.gossip_targets())
 
@@ -227,7 +227,7 @@
 
 @contextmanager
 def simulated_time() -> Iterator[SimulatedClock]:
-    """Let gossip go by a simulated clock meanwhile."""
+    """Replace the clock of the nodes by a simulated one within the block."""
     simulated = SimulatedClock()
     with mock.patch.object(clock, "_read", simulated):
         yield simulated
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
@@ -48,7 +48,7 @@
 
 def check_duties(soak: Soak) -> None:
     """Check who made duty calls, and that no window was reported twice with other counts."""
-    for line in soak.duties.broken():
+    for line in soak.duties.violations():
         soak.violated("one holder of the duties", line)
     soak.counts["usage windows reported"] = len(soak.duties.reports)
 
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/crashes.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/crashes.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from springbridge_standins.gateway.caller import CallerConnection
-from springbridge_standins.gateway.crashing import MARK
+from springbridge_standins.gateway.crashing import POISON_MARK
 from springbridge_standins.gateway.soak.state import Soak
 from springbridge_standins.gateway.soak.statements import start_anew
 
@@ -41,7 +41,7 @@
     with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError, ValueError):
         connection = await CallerConnection.open(address)
         try:
-            got = await connection.ask(PATH, method="POST", body=MARK)
+            got = await connection.ask(PATH, method="POST", body=POISON_MARK)
             soak.counts[f"poison {got.status}"] += 1
         finally:
             connection.close()
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/engine.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from springbridge_standins.gateway.crashing import MARK
+from springbridge_standins.gateway.crashing import POISON_MARK
 from springbridge_standins.http_wire import (
     Connection,
     RawRequest,
@@ -117,7 +117,7 @@
             await connection.send(answer(request.request_id, b"", 421, signature=""))
             return
         self._says.arrived(self._endpoint_id, request.request_id)
-        if request.body.startswith(MARK):
+        if request.body.startswith(POISON_MARK):
             await self._end(self._endpoint_id)
             return
         rest_s = self._says.rest_s(self._endpoint_id, request.request_id)
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
@@ -183,7 +183,7 @@
 
 async def _store_from_older_copy(soak: Soak) -> None:
     """Let the store come back from a copy some seconds old; others write again what they wrote."""
-    lost = await soak.store.come_back_older(-soak.rng.randint(1, OLDEST_COPIES))
+    lost = await soak.store.restore_older_copy(-soak.rng.randint(1, OLDEST_COPIES))
     older = {(row.table, row.key): soak.store.value_of(row.table, row.key) for row in lost}
     await asyncio.sleep(soak.rng.random() * WRITTEN_AGAIN_S)
     for row in lost:
--- a/packages/springbridge-standins/springbridge_standins/gateway/speaking.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/speaking.py
@@ -1,6 +1,7 @@
-"""Stand-in engines that say in their answers that they leave or want rest, and their callers.
+"""Stand-in endpoints (engines) that announce in answers that they leave or need rest; and callers.
 
-The record tells what reached each engine from each node, by the ids that the callers give.
+Requests are recorded by the ids that the callers give, so that each arrival at an engine can be
+attributed to a node.
 """
 
 import asyncio
@@ -22,19 +23,19 @@
 )
 from springbridge_standins.rates.statement_record import UNDER_WAY_S
 
-# Seconds that an answer takes, so that several requests are under way at a time.
+# Time per answer, so that several requests are in progress at once.
 WORK_S = 0.01
-# Number of the one event that a stream has.
+# Id of the single event of a stream.
 ONLY_EVENT = 1
-# Longest pause of a caller between two requests, in seconds.
+# Longest pause of a caller between two requests.
 PAUSE_S = 0.1
-# Beginnings of prompts that requests share, enough for each engine to be preferred for some.
+# Number of shared prompt prefixes, enough for each engine to be preferred for some.
 SHARED_PARTS = 24
 
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """A request that a caller sent to a node, and when on the monotonic clock."""
+    """A request sent by a caller: to which node, and when on the monotonic clock."""
 
     node: int
     at_s: float
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached an engine, and when."""
+    """A request that arrived at an engine, and when on the monotonic clock."""
 
     request_id: str
     at_s: float
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskedRest:
-    """An answer that asked for rest: which request it turned away, when, and for how long."""
+    """An answer that rejected a request and asked for rest: when and for how long."""
 
     request_id: str
     at_s: float
@@ -59,16 +60,18 @@
 
 @dataclass
 class SpeakingEngines:
-    """Engines of one service, what they say, and what reached them.
+    """Engines of one service, their announcements, and the requests that arrived.
 
     Attributes:
-      leaving: Numbers of the engines that say they leave.
-      rests_s: The rest that an engine asks for now, in seconds, by its number; one without an entry
+      leaving: Numbers of the engines that announce that they leave.
+      rests_s: Rest that each engine asks for now, in seconds, by its number; without an entry it
         serves.
-      sent: What callers sent, by request id.
-      passed_on_s: When a node first passed on an answer of an engine that says it leaves, by the
-        numbers of both.
-      answers: What callers got.
+      sent: Requests sent by callers, by request id.
+      passed_on_s: When a node first forwarded an answer of a leaving engine, by the numbers of node
+        and engine.
+      answers: Answers received by callers.
+      arrivals: Requests that arrived at each engine.
+      asked_rest: Answers of each engine that asked for rest.
     """
 
     service: str
@@ -82,14 +85,14 @@
     asked_rest: dict[int, list[AskedRest]] = field(default_factory=dict)
 
     def scripts(self) -> dict[str, tuple[str, Script]]:
-        """Return the scripts of the fleet; the service's usual engines are among them."""
+        """Return the engines' scripts by name, to start a fleet with."""
         return {
             f"i-{self.service}-{number + 1}": (self.service, self._script(number))
             for number in range(self.count)
         }
 
     def late_after_leaving(self, drain_s: float) -> int:
-        """Return how many requests reached an engine too late after it had said that it leaves."""
+        """Return how many requests a node got over drain_s after it knew their engine leaves."""
         return sum(
             self.sent[arrival.request_id].at_s > passed_on_s + drain_s
             for (node, engine), passed_on_s in self.passed_on_s.items()
@@ -98,7 +101,7 @@
         )
 
     def most_in_a_rest(self) -> int:
-        """Return the most requests that reached an engine from one node in a rest from it."""
+        """Return the most requests from one node in a rest that it had been asked for."""
         counts = [
             sum(
                 asked.at_s + UNDER_WAY_S < arrival.at_s < asked.at_s + asked.rest_s
@@ -140,7 +143,7 @@
     async def _turn_away(
         self, number: int, request: RawRequest, connection: Connection, rest_s: float
     ) -> None:
-        """Turn a request away and ask for rest."""
+        """Reject a request as not executed, and ask for rest."""
         asked = AskedRest(request.request_id, time.monotonic(), rest_s)
         self.asked_rest.setdefault(number, []).append(asked)
         headers = {"Not_Executed": "1", "Retry_After": f"{rest_s:g}"}
@@ -150,7 +153,7 @@
 async def call_all(
     fleet: Fleet, engines: SpeakingEngines, path: str, lasts_s: float, callers: int = 2
 ) -> None:
-    """Let callers at all nodes ask one request after another for some seconds."""
+    """Run callers at all nodes, each with one request after another, for lasts_s seconds."""
     numbers = itertools.count(len(engines.sent))
     end_s = time.monotonic() + lasts_s
 
@@ -171,7 +174,7 @@
 async def call_once(
     fleet: Fleet, engines: SpeakingEngines, path: str, node: int, number: int
 ) -> RawAnswer:
-    """Send one request to a node, and note what its answer passed on."""
+    """Send one request to a node, and record its answer and whether the engine leaves."""
     request_id = f"s{number}"
     engines.sent[request_id] = Sent(node, time.monotonic())
     prompt = f"{number % SHARED_PARTS:x}:800,{number:x}f:250"
--- a/packages/springbridge-standins/springbridge_standins/gateway/store.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's store: rows with versions, a feed, and faults."""
+"""Stand-in of the platform's store: versioned rows, a change feed by long poll, and faults."""
 
 import asyncio
 import base64
@@ -15,16 +15,15 @@
 
 # Longer than any test.
 SILENT_S = 3600.0
-# Slow, and still within the nodes' timeouts for the store.
+# Slow, but within the nodes' timeouts for the store.
 SLOW_S = 0.4
 
-
-# Tables of the operators and of the endpoints, which write what they wrote there again.
-WRITTEN_AGAIN = ("op", "servers")
+# Tables of the operators and endpoints, who rewrite rows that a restore has lost.
+REWRITTEN_TABLES = ("op", "servers")
 
 
 class StoreFault(Enum):
-    """How the store fails; the order is part of what a soak's seed means."""
+    """Faults of the store; soak seeds depend on the order of the members."""
 
     NONE = "none"
     SILENT = "silent"
@@ -36,10 +35,10 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One row.
+    """One row of a table.
 
     Attributes:
-      gone: Whether it was removed; the feed tells of it, and nothing else does.
+      gone: Whether it was removed; only the feed returns removed rows.
     """
 
     table: str
@@ -51,24 +50,26 @@
 
 @dataclass(frozen=True)
 class _Copy:
-    """The rows at one moment, and the version then."""
+    """A copy of all rows, and the store's version at that time."""
 
     version: int
     rows: dict[tuple[str, str], Row]
 
 
 class StoreStandIn(HttpStandIn):
-    """The rows.
+    """HTTP server of the store.
 
     Attributes:
-      refused_from: IP numbers of nodes that the store turns away with the fault; all if empty.
-      history_lost_before: Version before which the feed no longer reaches back.
-      calls: Calls by path.
-      era: How often the store has come back from an older copy; told in each answer once it has.
+      fault: The current fault.
+      refused_from: IPs of the nodes that the fault applies to; all if empty.
+      history_lost_before: Oldest version from which the feed still has all changes.
+      calls: Number of calls by path.
+      version: Version of the latest write; every write increases it.
+      era: Number of restores from an older copy; sent in each answer if not 0.
     """
 
     def __init__(self) -> None:
-        """Start without rows."""
+        """Start without rows and without a fault."""
         super().__init__()
         self.fault = StoreFault.NONE
         self.refused_from: set[str] = set()
@@ -85,11 +86,11 @@
         await self.put_content(table, key, orjson.dumps(document))
 
     async def put_content(self, table: str, key: str, content: bytes) -> None:
-        """Write any content, as another writer may."""
+        """Write raw bytes, which need not be JSON, as another writer may."""
         await self._write(table, key, content)
 
     async def remove(self, table: str, key: str) -> None:
-        """Remove a row."""
+        """Remove a row; the version increases even if there is none."""
         async with self._changed:
             self.version += 1
             if (table, key) in self._rows:
@@ -97,24 +98,24 @@
             self._changed.notify_all()
 
     def take_copy(self) -> None:
-        """Take a copy that the store may come back from."""
+        """Take a copy that the store may be restored from."""
         self._copies.append(_Copy(self.version, dict(self._rows)))
 
-    async def come_back_older(self, number: int = -1) -> list[Row]:
-        """Come back from a copy: what was written since is gone, versions are given out again.
+    async def restore_older_copy(self, number: int = -1) -> list[Row]:
+        """Restore a copy: later writes are lost, and their versions are reused.
 
         Args:
-          number: Which copy, counted from the latest, -1; the oldest if there are not so many.
+          number: Index of the copy, -1 for the latest; the oldest if there are not so many.
 
         Returns:
-          The rows of others than the nodes that were lost; whoever wrote them does so again.
+          Lost rows of REWRITTEN_TABLES, which their writers (not the nodes) will write again.
         """
         async with self._changed:
             copy = self._copies[max(number, -len(self._copies))]
             lost = [
                 row
                 for key, row in self._rows.items()
-                if row.table in WRITTEN_AGAIN and not row.gone and copy.rows.get(key) != row
+                if row.table in REWRITTEN_TABLES and not row.gone and copy.rows.get(key) != row
             ]
             self.version, self._rows = copy.version, dict(copy.rows)
             self.era += 1
@@ -122,7 +123,7 @@
         return lost
 
     def value_of(self, table: str, key: str) -> bytes | None:
-        """Return the content of a row, None if there is none."""
+        """Return the content of a row, None if there is none or it was removed."""
         row = self._rows.get((table, key))
         return None if row is None or row.gone else row.value
 
@@ -133,7 +134,7 @@
             self._changed.notify_all()
 
     async def respond(self, request: RawRequest, connection: Connection) -> None:
-        """Answer a call, or fail it."""
+        """Answer a call, or fail it according to the fault."""
         self.calls[request.path] += 1
         peer = connection.writer.get_extra_info("peername")[0]
         refused = not self.refused_from or peer in self.refused_from
@@ -148,16 +149,16 @@
             return
         if fault is StoreFault.SLOW:
             await asyncio.sleep(SLOW_S)
-        status, body = await self._call(request)
+        status, body = await self._execute(request)
         if fault is StoreFault.LOST:
             await asyncio.sleep(SILENT_S)
-        told = {"Store_Era": str(self.era)} if self.era else {}
-        await connection.send(answer("", orjson.dumps(body), status, signature="", **told))
+        era_header = {"Store_Era": str(self.era)} if self.era else {}
+        await connection.send(answer("", orjson.dumps(body), status, signature="", **era_header))
 
-    async def _call(self, request: RawRequest) -> tuple[int, dict]:
-        """Do a call and return status and body."""
+    async def _execute(self, request: RawRequest) -> tuple[int, dict]:
+        """Execute a call and return the status and the body of its answer."""
         if request.path == "/v1/rows-get":
-            return 200, self._shown(request.query["table"], -1) | {"more": False}
+            return 200, self._rows_answer(request.query["table"], -1) | {"more": False}
         if request.path == "/v1/rows-feed":
             return await self._feed(request.query)
         if request.path == "/v1/rows-tx":
@@ -175,32 +176,34 @@
         return 404, {}
 
     async def _feed(self, query: dict) -> tuple[int, dict]:
-        """Answer as soon as a row of a table has changed."""
+        """Answer when a row of the table changes or waitMs have passed; 410 if history is lost."""
         since = int(query["sinceRevision"])
         if since < self.history_lost_before or since > self.version:
             return 410, {}
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(int(query["waitMs"]) / 1000), self._changed:
-                await self._changed.wait_for(lambda: self._shown(query["table"], since)["rows"])
-        return 200, self._shown(query["table"], since)
+                await self._changed.wait_for(
+                    lambda: self._rows_answer(query["table"], since)["rows"]
+                )
+        return 200, self._rows_answer(query["table"], since)
 
-    def _shown(self, table: str, since: int) -> dict:
-        """Return the rows of a table that changed after a version, all that are there at -1."""
+    def _rows_answer(self, table: str, since: int) -> dict:
+        """Return the rows of a table changed after a version; at -1 all rows that exist."""
         rows = [
-            _shown_row(row)
+            _row_fields(row)
             for row in self._rows.values()
             if row.table == table and row.version > since and not (row.gone and since < 0)
         ]
         return {"rows": rows, "ver": self.version, "now_ms": self._now_ms()}
 
     def _now_ms(self) -> int:
-        """Return the moment on the store's steady clock."""
+        """Return the store's monotonic clock in milliseconds."""
         return int(time.monotonic() * 1000)
 
 
-def _shown_row(row: Row) -> dict:
-    """Return a row as the store's answers have it."""
-    shown = {"table": row.table, "part": "", "key": row.key, "ver": row.version}
+def _row_fields(row: Row) -> dict:
+    """Return a row in the format of the store's answers."""
+    fields = {"table": row.table, "part": "", "key": row.key, "ver": row.version}
     if row.gone:
-        return shown | {"gone": True}
-    return shown | {"value": base64.b64encode(row.value).decode()}
+        return fields | {"gone": True}
+    return fields | {"value": base64.b64encode(row.value).decode()}
--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -18,7 +18,7 @@
 SUSPENSION = f"{PLATFORM}/suspension_test.py"
 PERMITS = f"{NODE}/gateway/peers/trial_permits_test.py"
 SIMULATION = f"{STANDINS}/crash_simulation_test.py"
-NEWS = f"{STANDINS}/gateway/simulated_crash_news_test.py"
+NEWS = f"{STANDINS}/gateway/simulated_crash_sharing_test.py"
 FOLLOWER = f"{NODE}/gateway/config/configuration_follower_test.py"
 
 USERS_PLATFORM = (
--- a/packages/springbridge-standins/springbridge_standins/pages.py
+++ b/packages/springbridge-standins/springbridge_standins/pages.py
@@ -1,7 +1,7 @@
 """Extracts names from the documentation and from the sources, for the test that compares them.
 
-Files are only read, nothing is run. In a page, links and names count in sentences and tables, not in
-drawings and code blocks.
+Files are only read, nothing is run. In a page, links and names count in sentences and tables, not
+in drawings and code blocks.
 """
 
 import ast
