--- a/packages/springbridge-node/springbridge_node/gateway/conftest.py
+++ b/packages/springbridge-node/springbridge_node/gateway/conftest.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 import pytest
-from springbridge_standins.rates.fleet import DrawnFleet
+from springbridge_standins.rates.fleet import SimulatedRateFleet
 from springbridge_standins.virtual_loop import run_virtual
 
 from springbridge_node import logs
@@ -20,7 +20,7 @@
 
     def run(body, size, endpoints=1, loss=0.0):
         async def play():
-            fleet = DrawnFleet(random.Random(size), size, endpoints)
+            fleet = SimulatedRateFleet(random.Random(size), size, endpoints)
             fleet.network.loss = loss
             await asyncio.sleep(SETTLED_S)
             await body(fleet)
--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 import pytest
-from springbridge_standins.rates.fleet import DrawnExchange
+from springbridge_standins.rates.fleet import SimulatedExchange
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, GreaterThan, Is, LessThan
 
@@ -46,7 +46,7 @@
     began_s = loop.time()
     entry = instance.fleet.endpoints[0].entry
     demand = mock.Mock(priority=priority, service="model")
-    may = await instance.gate.acquire_permit(DrawnExchange("q", demand), entry)
+    may = await instance.gate.acquire_permit(SimulatedExchange("q", demand), entry)
     return may, loop.time() - began_s
 
 
@@ -113,7 +113,7 @@
         may, took_s = await ask(asker)
         assert_that(may, Is(False))
         assert_that(took_s, LessThan(MAX_PERMIT_WAIT_S + 0.001))
-        other = DrawnExchange("r", mock.Mock(priority=0))
+        other = SimulatedExchange("r", mock.Mock(priority=0))
         assert_that(asker.gate.held_back(other), Equals({"e0"}))
 
     with_instances(body, 8)
@@ -232,7 +232,7 @@
         await name_rate(fleet, 1.0)
         await asyncio.sleep(KNOWN_S)
         asker = fleet.instances[(granter_of(fleet) + 1) % 8]
-        exchange = DrawnExchange("q", mock.Mock(priority=1, service="model"))
+        exchange = SimulatedExchange("q", mock.Mock(priority=1, service="model"))
         while await asker.gate.acquire_permit(exchange, fleet.endpoints[0].entry):
             pass
         asker.parts.table.keep_only(set())
@@ -254,7 +254,7 @@
         entry = fleet.endpoints[0].entry
         got = 0
         for _ in range(6):
-            exchange = DrawnExchange("q", mock.Mock(priority=1, service="model"))
+            exchange = SimulatedExchange("q", mock.Mock(priority=1, service="model"))
             if await asker.gate.acquire_permit(exchange, entry):
                 got += 1
                 with asker.gate.hold_permit(exchange, entry):
--- a/packages/springbridge-standins/springbridge_standins/capacity/__init__.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of what decisions of the library cost as fleets grow."""
+"""Measures how the cost of the library's decisions grows with the size of a fleet."""
--- a/packages/springbridge-standins/springbridge_standins/capacity/__main__.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Runs capacity from the command line."""
+"""Command line of the capacity measurements."""
 
 import typer
 
--- a/packages/springbridge-standins/springbridge_standins/capacity/capacity.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/capacity.py
@@ -1,8 +1,9 @@
-"""Measures the slopes of the library that docs/CAPACITY.md is worked out from: ``make capacity``.
+"""Measures how the library's costs grow, as the input of docs/CAPACITY.md: ``make capacity``.
 
 Each measurement varies one quantity over at least four sizes, repeats each size, fits a line by
-least squares and prints slope, start and the largest deviation of a repeat from its size's median.
-What whole nodes cost (processor, memory, bytes, calls) has to be measured on a running fleet.
+least squares and prints its slope, its intercept (start) and the largest deviation of a repeat
+from the median of its size. The costs of whole nodes (CPU, memory, bytes, calls) have to be measured
+on a running fleet.
 """
 
 from springbridge.membership import DIGEST_LIMIT
@@ -12,7 +13,7 @@
 
 
 def show(slope: Slope) -> None:
-    """Print one slope."""
+    """Print a fitted line with its medians."""
     medians = ", ".join(
         f"{size}: {median:.4g}" for size, median in zip(slope.sizes, slope.medians, strict=True)
     )
--- a/packages/springbridge-standins/springbridge_standins/capacity/fit.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Lines fitted to measurements of one quantity over several sizes."""
+"""Measures CPU time or memory at several sizes and fits a line to the results."""
 
 import gc
 import statistics
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from time import process_time
 
-# Repeats of each size, of which the median counts.
+# Measurements per size; their median is used.
 REPEATS = 5
 MICROSECOND = 1e-6
 
@@ -45,7 +45,7 @@
 
 
 def timed(step: Callable[[], object], count: int) -> float:
-    """Return the processor time of one step in microseconds, over count steps."""
+    """Return the mean CPU time of a step in microseconds, over count steps."""
     start_s = process_time()
     for _ in range(count):
         step()
@@ -59,7 +59,7 @@
     prepare: Callable[[int], Callable[[], object]],
     count: int = 300,
 ) -> Slope:
-    """Measure the processor time of a step over several sizes."""
+    """Measure the CPU time in microseconds of the step that prepare returns for each size."""
     samples = {}
     for size in sizes:
         step = prepare(size)
@@ -70,7 +70,7 @@
 
 
 def memory(name: str, quantity: str, sizes: list[int], make: Callable[[int], object]) -> Slope:
-    """Measure the memory that what is made keeps, in bytes."""
+    """Measure the memory in bytes that is held by what make returns for each size."""
     samples = {}
     for size in sizes:
         samples[size] = [_kept_bytes(make, size) for _ in range(3)]
--- a/packages/springbridge-standins/springbridge_standins/capacity/library.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/library.py
@@ -1,4 +1,4 @@
-"""Slopes of the library: what needs no processes."""
+"""Cost measurements of the library that need no running nodes."""
 
 import random
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 def an_ask(name: str, tier: Tier = Tier.STANDARD) -> Ask:
-    """Return an ask for measurements."""
+    """Return an admission request (Ask) for measurements."""
     return Ask(
         name, "node-1-0a1b2c3d", "engine-1", "claims", f"customer-{hash(name) % 50}", tier, 1.0, 3,
         1e6, 1.0, 1.0, 0.065, 100, True, False,
@@ -30,7 +30,7 @@
 
 
 def a_scheduler(running: int, waiting: int) -> EndpointScheduler:
-    """Return a scheduler with slots in use and asks in its queue."""
+    """Return a scheduler with running and with queued requests."""
     scheduler = EndpointScheduler("me", "engine-1", 10**9, perf_counter, Invariants())
     for limit in scheduler.limits.tiers.values():
         limit.limit = float(running)
@@ -41,7 +41,7 @@
 
 
 def _turnover(scheduler: EndpointScheduler) -> Callable[[], object]:
-    """Return a step in which one slot is released and one ask comes in."""
+    """Return a step that releases one slot and submits one new request."""
     numbers = iter(range(10**9))
 
     def step() -> None:
@@ -53,7 +53,7 @@
 
 
 def a_membership(size: int) -> Membership:
-    """Return a view of a number of members, all alive."""
+    """Return a membership with size members, all alive."""
     me = a_member(0)
     view = Membership(me, lambda: 0.0, random.Random(1))
     view.merge(a_member(number) for number in range(1, size))
@@ -61,7 +61,7 @@
 
 
 def a_member(number: int) -> Member:
-    """Return a member."""
+    """Return the member of a number."""
     name = f"node-{number:03d}"
     return Member(
         f"{name}-0a1b2c3d", name, f"10.0.{number // 250}.{number % 250}:8001",
@@ -71,7 +71,7 @@
 
 
 def table_rows(shares: int) -> dict[str, dict[str, str]]:
-    """Return rows of a table with a number of shares, eight to a customer."""
+    """Return rows of a table with a number of shares, eight per customer."""
     cells = {
         "tier": "urgent", "target": "m", "first_token_ms": "1100", "between_tokens_ms": "65",
         "max_wait_ms": "10000", "places": "a b", "repeatable": "no",
@@ -86,7 +86,7 @@
 
 
 def _change_step(shares: int) -> Callable[[], object]:
-    """Return a step that applies one change to a table of a size."""
+    """Return a step that applies one change to a table with a number of shares."""
     rows = table_rows(shares)
     snapshot = Snapshot(1, rows)
     table = build(1, rows).table
@@ -107,7 +107,7 @@
 
 
 def _digest_step(size: int) -> Callable[[], object]:
-    """Return a step in which one digest is made, sent, read and merged."""
+    """Return a step that creates, encodes, decodes and merges one digest."""
     view = a_membership(size)
     return lambda: view.merge(decode(encode([Digest(tuple(view.digest()))]))[0].members)
 
@@ -128,7 +128,7 @@
 
 
 def library_slopes() -> list[Slope]:
-    """Measure what needs no processes."""
+    """Run all measurements and return the fitted lines."""
     members = [8, 24, 50, 100, 200, 380]
     names = {size: [a_member(number).incarnation for number in range(size)] for size in members}
     engines = [1, 4, 16, 64]
--- a/packages/springbridge-standins/springbridge_standins/gateway/duties.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/duties.py
@@ -123,12 +123,12 @@
 
     def _check_holders(self) -> list[str]:
         """Return the violations among the calls of each subject."""
-        found = []
+        violations = []
         for subject in {call.subject for call in self.calls}:
             calls = [call for call in self.calls if call.subject == subject]
             for number, call in enumerate(calls):
-                found += _violations_of(call, calls[:number])
-        return found
+                violations += _violations_of(call, calls[:number])
+        return violations
 
 
 def _violations_of(call: DutyCall, before: list[DutyCall]) -> list[str]:
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/rates.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/rates.py
@@ -10,7 +10,12 @@
 
 from springbridge_standins.gateway.soak.state import Soak
 from springbridge_standins.proxy import ConnectionFault
-from springbridge_standins.rates.rate_record import IN_TOUCH_S, Arrival, Named, RateRecord
+from springbridge_standins.rates.rate_record import (
+    PROPAGATION_S,
+    AnnouncedRate,
+    Arrival,
+    RateRecord,
+)
 
 # Rates that are named, in requests a second.
 RATES_PER_S = (0.5, 1.0, 2.0, 5.0, 20.0, 200.0)
@@ -53,11 +58,11 @@
         """Return whether the sender, or the way to the engine, was harmed a moment ago."""
         now_s = time.monotonic()
         if self.soak.proxy_of(name).fault is not ConnectionFault.NONE:
-            self._harmed_until_s[name] = now_s + IN_TOUCH_S
+            self._harmed_until_s[name] = now_s + PROPAGATION_S
         asked = self.soak.asked.get(request_id)
         # A request that is in no caller's hands is one that ends engines; any node may send it.
         node = asked and self.soak.node_at(asked.callers)
-        is_harmed = node is not None and (node.busy or node.freed_s > now_s - IN_TOUCH_S)
+        is_harmed = node is not None and (node.busy or node.freed_s > now_s - PROPAGATION_S)
         return is_harmed or self._harmed_until_s.get(name, 0.0) > now_s
 
 
@@ -77,16 +82,16 @@
         return
     while True:
         soak.counts["rates named"] += 1
-        record.named.append(Named(time.monotonic(), rng.choice(RATES_PER_S)))
+        record.named.append(AnnouncedRate(time.monotonic(), rng.choice(RATES_PER_S)))
         await asyncio.sleep(rng.uniform(*NAMED_S))
         if rng.random() >= CHANGED_SHARE:
             break
-    record.named.append(Named(time.monotonic(), None))
+    record.named.append(AnnouncedRate(time.monotonic(), None))
 
 
 def check_rates(soak: Soak, rates: EngineRates) -> None:
     """Check that no engine got more than the rule allows."""
     for name, record in [*rates.before, *rates.now.items()]:
-        most = record.most_over()
+        most = record.max_excess()
         if most > 0:
             soak.violated("no more than the rate that an engine names", f"{name} {most:g} over")
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/statements.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/statements.py
@@ -10,7 +10,7 @@
 
 from springbridge_standins.gateway.soak.rates import EngineRates
 from springbridge_standins.gateway.soak.state import Soak
-from springbridge_standins.rates.statement_record import DRAIN_S, UNDER_WAY_S
+from springbridge_standins.rates.statement_record import DRAIN_S, IN_PROGRESS_S
 
 # Seconds for which an engine that leaves serves on, from and to, and for which it is down then.
 SERVES_ON_S, DOWN_S = (2.5, 6.0), (0.3, 1.5)
@@ -183,6 +183,6 @@
 
     A node that was killed, stopped or frozen since then is excused: it may have forgotten.
     """
-    is_between = wish.at_s + UNDER_WAY_S < arrival.at_s < wish.at_s + wish.rest_s
+    is_between = wish.at_s + IN_PROGRESS_S < arrival.at_s < wish.at_s + wish.rest_s
     is_pair = (arrival.run, arrival.node) == (wish.run, wish.node)
     return is_between and is_pair and not arrival.is_excused and arrival.harmed_s < wish.at_s
--- a/packages/springbridge-standins/springbridge_standins/gateway/speaking.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/speaking.py
@@ -21,7 +21,7 @@
     event,
     stream_head,
 )
-from springbridge_standins.rates.statement_record import UNDER_WAY_S
+from springbridge_standins.rates.statement_record import IN_PROGRESS_S
 
 # Time per answer, so that several requests are in progress at once.
 WORK_S = 0.01
@@ -104,7 +104,7 @@
         """Return the most requests from one node in a rest that it had been asked for."""
         counts = [
             sum(
-                asked.at_s + UNDER_WAY_S < arrival.at_s < asked.at_s + asked.rest_s
+                asked.at_s + IN_PROGRESS_S < arrival.at_s < asked.at_s + asked.rest_s
                 and self._node(arrival) == self._node(asked)
                 for arrival in self.arrivals[engine]
             )
--- a/packages/springbridge-standins/springbridge_standins/rates/__init__.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/__init__.py
@@ -1,10 +1,12 @@
-"""Drawn histories of fleets before endpoints that name rates, in virtual time.
+"""Random histories of fleets and endpoints that announce rate limits, in virtual time.
 
-rate_record  what an endpoint named and got, and the rule for that; the soak uses it too
-endpoints    an endpoint that names a rate in its answers and records what arrives
-network      datagrams between the drawn instances, with delays, losses and cuts
-views        which members an instance takes for live, late as on a running fleet
-fleet        instances with the real parts that keep to rates, and a plain choice of endpoints
-ways         other ways to share a rate, to compare with
-histories    draws losses, cuts, freezes and restarts, and checks what endpoints got
+rate_record           limits and arrivals of an endpoint, and their rule; the soak uses it too
+statement_record      the same for endpoints that leave or ask for rest
+endpoints             an endpoint that announces limits in its answers and records its requests
+network               datagrams between instances, with delays, losses and partitions
+views                 the members that an instance takes for live, updated late as in a real fleet
+fleet                 instances with the real rate limiting, and a simple choice of endpoints
+ways                  other algorithms to share a rate, for comparison
+histories             injects losses, partitions, freezes and restarts, and checks the arrivals
+statement_histories   the same for endpoints that leave or ask for rest
 """
--- a/packages/springbridge-standins/springbridge_standins/rates/__main__.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/__main__.py
@@ -1,4 +1,4 @@
-"""Compares ways to share a rate in calm fleets: how much of it is used, and how much is over."""
+"""Compares algorithms that share a rate in fleets without faults: how much is used or exceeded."""
 
 import asyncio
 import random
@@ -10,8 +10,8 @@
 from springbridge_standins.rates.ways import WAYS, fleet_of
 from springbridge_standins.virtual_loop import run_virtual
 
-# Instances, rate in requests a second, instances that callers come to (0 for all), and requests of
-# all callers together in a second.
+# Instances, rate in requests per second, instances that receive requests (0 for all), and requests
+# per second of all callers together.
 CASES = (
     (8, 1.0, 0, 20.0),
     (8, 1.0, 3, 20.0),
@@ -25,12 +25,12 @@
     (380, 1.0, 3, 50.0),
     (380, 200.0, 0, 700.0),
 )
-# Seconds until instances grant, from the first rate to what is counted, and that are counted.
+# Time until instances grant permits, from the first limit to the count, and counted time.
 SETTLED_S, KNOWN_S, COUNTED_S = 4.0, 4.0, 30.0
 
 
 async def _play(way: str, size: int, per_s: float, few: int, asked_per_s: float) -> str:
-    """Return what one case comes to in one way."""
+    """Return the printed result of one case with one algorithm."""
     rng = random.Random(5)
     fleet = fleet_of(way, rng, size, endpoints=1)
     await asyncio.sleep(SETTLED_S)
@@ -46,12 +46,12 @@
     sent = fleet.network.sent_bytes.values()
     busiest = max(sent, default=0) / (KNOWN_S + COUNTED_S)
     mean = sum(sent) / size / (KNOWN_S + COUNTED_S)
-    over = endpoint.record.most_over()
+    over = endpoint.record.max_excess()
     return f"used {used:.2f}, most over {over:.0f}, B/s mean {mean:.0f} busiest {busiest:.0f}"
 
 
 async def _call(rng: random.Random, fleet, few: int, asked_per_s: float) -> None:
-    """Let callers ask, at all instances or at a few."""
+    """Send requests to all instances, or to a few if few is not 0."""
     numbers = list(range(len(fleet.instances)))
     asked = rng.sample(numbers, few) if few else numbers
     while True:
@@ -60,7 +60,7 @@
 
 
 def main() -> None:
-    """Print each case in each way."""
+    """Print the result of each case with each algorithm."""
     with mock.patch.object(logs, "event"):
         for size, per_s, few, asked_per_s in CASES:
             where = f"{few} of {size}" if few else f"all {size}"
--- a/packages/springbridge-standins/springbridge_standins/rates/fleet.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/fleet.py
@@ -1,7 +1,7 @@
-"""Drawn instances with the real parts that keep to rates, and a plain choice of endpoints.
+"""Simulated instances with the real rate limiting and a simple choice of endpoints.
 
-An instance sends a request to the endpoint that has had the fewest from it, which is what draws
-requests to an endpoint in need on a running fleet: it has the least to do.
+An instance sends a request to the endpoint with the fewest of its requests in progress. In a real
+fleet this attracts requests to an endpoint in trouble, since it has the least to do.
 """
 
 import asyncio
@@ -18,22 +18,22 @@
 from springbridge_node.gateway.requests.rate_parts import RateParts
 from springbridge_node.gateway.telemetry import Telemetry
 
-from springbridge_standins.rates.endpoints import DrawnEndpoint
-from springbridge_standins.rates.network import DrawnNetwork
+from springbridge_standins.rates.endpoints import SimulatedEndpoint
+from springbridge_standins.rates.network import SimulatedNetwork
 from springbridge_standins.rates.statement_record import DRAIN_S, Request
-from springbridge_standins.rates.views import DrawnView
+from springbridge_standins.rates.views import SimulatedView
 
 SERVICE = "model"
 FAILURE_DOMAINS = ("a", "b", "c")
-# Slots of an endpoint; nothing here looks at them.
+# Slots of an endpoint; not used here.
 SLOTS = 64
-# Seconds after a restart, freeze or cut in which an instance is excused.
+# Time after a restart, freeze or partition in which an instance is excused from the rules.
 EXCUSED_S = 3.0
 
 
 @dataclass
-class DrawnProgress:
-    """What the gate notes of a request."""
+class SimulatedProgress:
+    """The progress of a request, as recorded by the gate."""
 
     sends: int = 0
     held_back: set[str] = field(default_factory=set)
@@ -41,32 +41,32 @@
 
 
 @dataclass
-class DrawnExchange:
-    """A request as the gate sees it."""
+class SimulatedExchange:
+    """A request in the form that the gate expects."""
 
     request_id: str
     demand: Demand
-    progress: DrawnProgress = field(default_factory=DrawnProgress)
+    progress: SimulatedProgress = field(default_factory=SimulatedProgress)
 
 
-class DrawnInstance:
-    """One run of an instance.
+class SimulatedInstance:
+    """One incarnation of an instance.
 
     Attributes:
-      sent: Requests that it sent, by endpoint.
-      refused_s: How long each refused caller waited for its refusal, in seconds.
-      retry_after_s: When each of them was told to come back.
+      sent: Its requests in progress, by endpoint.
+      refused_s: Seconds that each refused caller waited for the refusal.
+      retry_after_s: Retry-After in seconds that each of them got.
     """
 
-    def __init__(self, fleet: "DrawnFleet", number: int, incarnation: str) -> None:
-        """Start with nothing known."""
+    def __init__(self, fleet: "SimulatedRateFleet", number: int, incarnation: str) -> None:
+        """Start an instance that knows no peers and no limits."""
         self.fleet = fleet
         self.address = f"10.0.{number // 250}.{number % 250}:1"
         domain = FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
         self.member = Member(
             incarnation, f"n{number}", self.address, "", domain, heartbeat=FIRST_HEARTBEAT
         )
-        self.view = DrawnView(self.member, fleet.rng)
+        self.view = SimulatedView(self.member, fleet.rng)
         self.sent: Counter = Counter()
         self.refused_s: list[float] = []
         self.retry_after_s: list[float] = []
@@ -83,7 +83,7 @@
         self._run(self._beat())
 
     def list_ready(self, revision: int) -> None:
-        """Install a list that says of every endpoint that it is ready."""
+        """Install an endpoint snapshot in which every endpoint is ready."""
         entries = tuple(each.entry for each in self.fleet.endpoints)
         self.registry.install(EndpointSnapshot(revision, entries), {}, 0.0)
 
@@ -95,32 +95,32 @@
     async def _beat(self) -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
-            await self._thawed()
+            await self._wait_while_frozen()
             await self.parts.sharing.beat()
 
-    async def _thawed(self) -> None:
-        """Wait until the instance runs."""
+    async def _wait_while_frozen(self) -> None:
+        """Wait until the instance is no longer frozen."""
         loop = asyncio.get_running_loop()
         while loop.time() < (until_s := self.fleet.network.frozen_until_s.get(self.address, 0.0)):
             await asyncio.sleep(until_s - loop.time() + 0.001)
 
     def kill(self) -> None:
-        """End without a word."""
+        """Stop without notice to the peers."""
         for task in self._tasks:
             task.cancel()
         self.fleet.network.leave(self.address)
 
     def serve(self, priority: int = 1) -> None:
-        """Take a caller's request."""
+        """Accept a request of a caller and process it in the background."""
         self._run(self._serve(priority))
 
     async def _serve(self, priority: int) -> None:
-        await self._thawed()
+        await self._wait_while_frozen()
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         name = f"{self.address}/{next(self._numbers)}"
         demand = Demand(name, SERVICE, self.member.failure_domain, priority, 1.0)
-        exchange = DrawnExchange(name, demand)
+        exchange = SimulatedExchange(name, demand)
         while True:
             held = self.gate.held_back(exchange)
             states = {
@@ -138,95 +138,96 @@
             last_resort = state.statements.leaving.is_certain
             if not await self.gate.acquire_permit(exchange, endpoint.entry):
                 continue
-            await self._thawed()
+            await self._wait_while_frozen()
             if self.registry.may_get_request(state, last_resort):
                 self.registry.record_send(state)
                 await self._send(endpoint, began_s)
                 return
 
-    async def _send(self, endpoint: DrawnEndpoint, began_s: float) -> None:
-        """Send a request to an endpoint and take in the head of its answer.
+    async def _send(self, endpoint: SimulatedEndpoint, began_s: float) -> None:
+        """Send a request to an endpoint and process the metadata of its answer.
 
         Args:
-          began_s: When the caller sent it.
+          endpoint: The endpoint that was chosen.
+          began_s: When the caller sent the request.
         """
         loop = asyncio.get_running_loop()
         self.sent[endpoint.entry.endpoint_id] += 1
         sent_s = loop.time()
         request = Request(self.member.incarnation, began_s, self.fleet.is_excused(self.address))
         metadata = await endpoint.answer(request)
-        await self._thawed()
+        await self._wait_while_frozen()
         self.sent[endpoint.entry.endpoint_id] -= 1
         self.parts.watch.record(endpoint.entry, "", metadata, sent_s)
         if metadata.statements.leaves:
-            endpoint.said.passed_on(self.member.incarnation, loop.time())
+            endpoint.statement_record.passed_on(self.member.incarnation, loop.time())
 
 
-class DrawnFleet:
-    """The instances, the endpoints and the network."""
+class SimulatedRateFleet:
+    """Instances, endpoints and the network between the instances."""
 
     def __init__(self, rng: random.Random, size: int, endpoints: int, make_gate=None) -> None:
-        """Start all instances; each soon knows the others.
+        """Start all instances; each knows all others.
 
         Args:
-          make_gate: Returns the gate of an instance; the real one if left out.
+          make_gate: Returns the gate of an instance; None for the real one.
         """
         self.rng = rng
-        self.network = DrawnNetwork(rng)
+        self.network = SimulatedNetwork(rng)
         self.telemetry = Telemetry()
         self.make_gate = make_gate or (lambda instance: instance.parts.gate)
-        self.endpoints = [DrawnEndpoint(_entry(number), rng) for number in range(endpoints)]
+        self.endpoints = [SimulatedEndpoint(_entry(number), rng) for number in range(endpoints)]
         self.excused_until_s: dict[str, float] = {}
         self._runs = itertools.count()
-        self.instances: list[DrawnInstance] = []
+        self.instances: list[SimulatedInstance] = []
         for number in range(size):
             self.instances.append(self._start(number))
         for instance in self.instances:
             for other in self.instances:
                 if other is not instance:
-                    instance.view._there(other.member)
+                    instance.view._add(other.member)
 
-    def _start(self, number: int) -> DrawnInstance:
-        return DrawnInstance(self, number, f"{next(self._runs):010x}")
+    def _start(self, number: int) -> SimulatedInstance:
+        return SimulatedInstance(self, number, f"{next(self._runs):010x}")
 
     def is_excused(self, address: str) -> bool:
-        """Return whether an instance was harmed a moment ago."""
+        """Return whether an instance has or recently had a fault."""
         return asyncio.get_running_loop().time() < self.excused_until_s.get(address, 0.0)
 
     def excuse(self, address: str, seconds: float) -> None:
-        """Excuse an instance for some seconds of harm and EXCUSED_S beyond."""
+        """Excuse an instance for the seconds of a fault and EXCUSED_S more."""
         until_s = asyncio.get_running_loop().time() + seconds + EXCUSED_S
         self.excused_until_s[address] = max(until_s, self.excused_until_s.get(address, 0.0))
 
     def restart(self, number: int, down_s: float) -> None:
-        """Kill an instance, and start it anew after some seconds."""
+        """Kill an instance, and start a new incarnation after down_s seconds."""
         old = self.instances[number]
         old.kill()
         for each in self.instances:
             each.view.notice_gone(old.member)
         self.excuse(old.address, down_s)
-        asyncio.get_running_loop().call_later(down_s, self._start_again, number)
+        asyncio.get_running_loop().call_later(down_s, self._start_replacement, number)
 
-    def _start_again(self, number: int) -> None:
+    def _start_replacement(self, number: int) -> None:
         new = self._start(number)
         self.instances[number] = new
         for each in self.instances:
             if each is not new and self.network.reaches(each.address, new.address):
-                each.view.notice_there(new.member)
-                new.view.notice_there(each.member)
+                each.view.notice_return(new.member)
+                new.view.notice_return(each.member)
 
     def freeze(self, number: int, seconds: float) -> None:
-        """Let an instance stand still; the others leave it out meanwhile."""
+        """Freeze an instance for some seconds; the others remove it in the meantime."""
         instance = self.instances[number]
         loop = asyncio.get_running_loop()
         self.network.frozen_until_s[instance.address] = loop.time() + seconds
         self.excuse(instance.address, seconds)
         for each in self.instances:
             each.view.notice_gone(instance.member)
-            loop.call_later(seconds, each.view.notice_there, instance.member)
+            loop.call_later(seconds, each.view.notice_return, instance.member)
 
     def cut(self, numbers: set[int], seconds: float) -> None:
-        """Cut some instances off from the others."""
+        """Partition some instances from the others for some seconds."""
         loop = asyncio.get_running_loop()
         for number in numbers:
             self.network.sides[self.instances[number].address] = 1
@@ -240,11 +241,11 @@
         for number in numbers:
             self.network.sides[self.instances[number].address] = 0
         for one, other in self._pairs(numbers):
-            one.view.notice_there(other.member)
-            other.view.notice_there(one.member)
+            one.view.notice_return(other.member)
+            other.view.notice_return(one.member)
 
     def _pairs(self, numbers: set[int]):
-        """Return each pair of an instance of some numbers and one of the others."""
+        """Yield each pair of an instance in numbers and one that is not."""
         for number in numbers:
             for other in range(len(self.instances)):
                 if other not in numbers:
--- a/packages/springbridge-standins/springbridge_standins/rates/histories_test.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/histories_test.py
@@ -1,4 +1,4 @@
-"""Endpoints get no more than the rates that they name: drawn histories of harmed fleets."""
+"""Endpoints get no more requests than their limits allow, in random histories with faults."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -6,10 +6,10 @@
 
 from springbridge_standins.rates.histories import play_history
 
-# Seeds that were once over what is allowed: several granters of one endpoint at a time.
+# Seeds of a fixed fault: several instances granted permits of one endpoint at a time.
 ONCE_OVER = (211, 280, 454, 464, 496, 1076, 1115, 1171)
 DRAWN = range(5000, 5030)
-# Longest time in seconds until a caller is refused.
+# Longest time until a caller is refused.
 REFUSED_S = 0.05
 
 
--- a/packages/springbridge-standins/springbridge_standins/rates/rate_record.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/rate_record.py
@@ -1,27 +1,27 @@
-"""What an endpoint that names rates got, and whether that was more than the users' rule allows.
+"""Records the arrivals at an endpoint that announces limits, and checks them by the users' rule.
 
-The rule: from a few seconds after an endpoint first named a rate it gets in no span of WINDOW_S
-more than RATIO times what the rate allows, and BEYOND requests. An instance that was harmed is
-excused.
+The rule: from PROPAGATION_S after an endpoint first announced a limit, any span of WINDOW_S has at
+most RATIO times the requests that the limit allows, and EXTRA_REQUESTS more. An instance that had a
+fault shortly before is excused.
 """
 
 from bisect import bisect_left
 from dataclasses import dataclass, field
 
-# Spans of the rule, in seconds, and what it allows beyond one and a half times the rate.
+# Span of the rule, the multiple of the rate that it allows, and the requests allowed in addition.
 WINDOW_S = 4.0
-RATIO, BEYOND = 1.5, 5.0
-# Seconds from the first answer with a rate in which instances may not know of it, and seconds for
-# which what was named before a span still counts in it.
-IN_TOUCH_S, STILL_COUNTS_S = 3.0, 0.5
+RATIO, EXTRA_REQUESTS = 1.5, 5.0
+# Time from the first announcement in which instances may not know of a limit, and the time for
+# which a limit replaced before a span still counts in it.
+PROPAGATION_S, OLD_RATE_COUNTS_S = 3.0, 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that arrived.
+    """A request that arrived at the endpoint.
 
     Attributes:
-      is_excused: Whether its instance, or the way to the endpoint, was harmed a moment before.
+      is_excused: Whether its instance or the connection to the endpoint had a fault shortly before.
     """
 
     at_s: float
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
-    """A rate that is named from a moment on; None for none."""
+class AnnouncedRate:
+    """A limit in requests per second announced from a time on; None for no limit."""
 
     since_s: float
     per_s: float | None
@@ -38,34 +38,34 @@
 
 @dataclass
 class RateRecord:
-    """One run of an endpoint: what it named and what arrived.
+    """One incarnation of an endpoint: its announced limits and its arrivals.
 
     Attributes:
-      first_named_s: When an answer first named a rate; infinite before.
+      first_named_s: When an answer first announced a limit; infinite before.
     """
 
-    named: list[Named] = field(default_factory=list)
+    named: list[AnnouncedRate] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     first_named_s: float = float("inf")
 
     def per_s(self) -> float | None:
-        """Return the rate that is named now."""
+        """Return the current limit in requests per second, None if there is none."""
         return self.named[-1].per_s if self.named else None
 
     def answered(self, now_s: float) -> float | None:
-        """Return the rate for the head of an answer that goes out now."""
+        """Return the limit to announce in an answer that is sent now."""
         if self.per_s() is not None:
             self.first_named_s = min(self.first_named_s, now_s)
         return self.per_s()
 
-    def most_over(self) -> float:
-        """Return the most requests over what is allowed in any span; below zero if none is over."""
+    def max_excess(self) -> float:
+        """Return the most requests above the limit in any span; negative if none is exceeded."""
         at_s = [
             each.at_s
             for each in self.arrivals
-            if not each.is_excused and each.at_s >= self.first_named_s + IN_TOUCH_S
+            if not each.is_excused and each.at_s >= self.first_named_s + PROPAGATION_S
         ]
-        worst = -BEYOND
+        worst = -EXTRA_REQUESTS
         for last, end_s in enumerate(at_s):
             allowed = self._allowed(end_s - WINDOW_S, end_s)
             if allowed is not None:
@@ -73,13 +73,13 @@
         return worst
 
     def _allowed(self, begin_s: float, end_s: float) -> float | None:
-        """Return what a span may have; None if no rate was named in a part of it."""
+        """Return the requests allowed in a span; None if a part of it had no limit."""
         if begin_s < self.named[0].since_s:
             return None
         ends = [each.since_s for each in self.named[1:]] + [float("inf")]
         rates = [
             each.per_s
             for each, until_s in zip(self.named, ends, strict=True)
-            if each.since_s <= end_s and until_s >= begin_s - STILL_COUNTS_S
+            if each.since_s <= end_s and until_s >= begin_s - OLD_RATE_COUNTS_S
         ]
-        return None if None in rates else RATIO * max(rates) * WINDOW_S + BEYOND
+        return None if None in rates else RATIO * max(rates) * WINDOW_S + EXTRA_REQUESTS
--- a/packages/springbridge-standins/springbridge_standins/rates/statement_histories.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/statement_histories.py
@@ -1,8 +1,8 @@
-"""Draws histories of endpoints that leave and that ask for rest, plays them, and checks the rules.
+"""Runs random histories of endpoints that leave or ask for rest, and checks the users' rules.
 
-Beside them endpoints name rates, and harms overlap: restarts, freezes, cuts and lost datagrams. The
-store is out or takes nothing all the time: lists that say "ready" of every endpoint come again and
-again, so that only the endpoints' own words count.
+Endpoints also announce limits, and faults overlap: restarts, freezes, partitions, lost datagrams.
+The store is down or accepts no writes all the time: instances keep getting lists in which every
+endpoint is ready, so that only the announcements count.
 """
 
 import asyncio
@@ -13,28 +13,28 @@
 import typer
 from springbridge_node import logs
 
-from springbridge_standins.rates.endpoints import DrawnEndpoint
-from springbridge_standins.rates.fleet import DrawnFleet
-from springbridge_standins.rates.histories import call, harm, name
+from springbridge_standins.rates.endpoints import SimulatedEndpoint
+from springbridge_standins.rates.fleet import SimulatedRateFleet
+from springbridge_standins.rates.histories import inject_faults, send_requests, vary_rate
 from springbridge_standins.virtual_loop import run_virtual
 
-# Seconds of one history.
+# Virtual length of one history.
 HISTORY_S = 24.0
-# Fewest instances in drawn histories, and the most.
+# Fewest and most instances.
 SIZES = (2, 40)
-# Rests that endpoints ask for, in seconds.
+# Rests that endpoints ask for.
 RESTS_S = (0.2, 0.5, 1.0, 3.0, 8.0, 30.0)
-# Lowest and highest count of requests of all callers together, in a second.
+# Fewest and most requests per second of all callers together.
 ASKED_PER_S = (5.0, 300.0)
 
 
 @dataclass
 class StatementHistory:
-    """One drawn history, and what broke a rule in it.
+    """One random history, and the violations in it.
 
     Attributes:
-      said_to: Instances that endpoints said something to, summed over the endpoints.
-      late: Requests that came too late after the word that an endpoint leaves.
+      said_to: Instances that got an announcement, summed over the endpoints.
+      late: Requests sent too late after an endpoint announced that it leaves.
       most_in_a_rest: Most requests from one instance in a rest.
     """
 
@@ -46,10 +46,10 @@
 
 
 def play_statements(seed: int, size: int = 0, seconds: float = HISTORY_S) -> StatementHistory:
-    """Play the history of a seed to its end.
+    """Run the history of a seed to its end in virtual time.
 
     Args:
-      size: Number of instances, drawn if left out.
+      size: Number of instances, random if 0.
     """
     history = StatementHistory(seed, size)
     with mock.patch.object(logs, "event", lambda *args, **fields: None):
@@ -59,16 +59,16 @@
 
 async def _play(history: StatementHistory, rng: random.Random, seconds: float) -> None:
     history.size = history.size or rng.randint(*SIZES)
-    fleet = DrawnFleet(rng, history.size, rng.randint(1, 6))
+    fleet = SimulatedRateFleet(rng, history.size, rng.randint(1, 6))
     fleet.network.loss = rng.choice([0.0, 0.0, 0.03, 0.1])
     await asyncio.sleep(2.5)
     limited = [each for each in fleet.endpoints if rng.random() < 0.2]
     asked_per_s = rng.uniform(*ASKED_PER_S)
     work = [
         *(_say(rng, each) for each in fleet.endpoints),
-        *(name(rng, each, rng.choice([1.0, 5.0, 20.0])) for each in limited),
-        call(rng, fleet, asked_per_s / 2.0),
-        harm(rng, fleet),
+        *(vary_rate(rng, each, rng.choice([1.0, 5.0, 20.0])) for each in limited),
+        send_requests(rng, fleet, asked_per_s / 2.0),
+        inject_faults(rng, fleet),
         _list_ready(rng, fleet),
     ]
     tasks = [asyncio.ensure_future(each) for each in work]
@@ -77,14 +77,14 @@
         task.cancel()
     for instance in fleet.instances:
         instance.kill()
-    records = [each.said for each in fleet.endpoints]
+    records = [each.statement_record for each in fleet.endpoints]
     history.said_to = sum(record.said_to() for record in records)
     history.late = sum(record.late() for record in records)
     history.most_in_a_rest = max(record.most_in_a_rest() for record in records)
 
 
-async def _say(rng: random.Random, endpoint: DrawnEndpoint) -> None:
-    """Let an endpoint ask for rest now and then, and leave once perhaps."""
+async def _say(rng: random.Random, endpoint: SimulatedEndpoint) -> None:
+    """Let an endpoint ask for rest at random, and possibly leave once."""
     leaves_in_s = rng.uniform(0.0, 2.0 * HISTORY_S)
     loop = asyncio.get_running_loop()
     began_s = loop.time()
@@ -97,8 +97,8 @@
             endpoint.rest_s = None
 
 
-async def _list_ready(rng: random.Random, fleet: DrawnFleet) -> None:
-    """Let instances get lists that say of every endpoint that it is ready."""
+async def _list_ready(rng: random.Random, fleet: SimulatedRateFleet) -> None:
+    """Keep installing snapshots with all endpoints ready at random instances."""
     revision = 1
     while True:
         await asyncio.sleep(rng.random())
@@ -107,7 +107,7 @@
 
 
 def main(seed: int = 0, seeds: int = 100, size: int = 0, seconds: float = HISTORY_S) -> None:
-    """Play histories, and print those that break a rule and what all come to."""
+    """Run histories, and print those with violations and the totals."""
     played = [play_statements(each, size, seconds) for each in range(seed, seed + seeds)]
     for history in played:
         if history.late or history.most_in_a_rest > 1:
--- a/packages/springbridge-standins/springbridge_standins/rates/statement_histories_test.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/statement_histories_test.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave get nothing new, and those that ask for rest get it: drawn histories."""
+"""Endpoints that leave or rest get no new requests, in random histories with faults."""
 
 import pytest
 from testtools.assertions import assert_that
--- a/packages/springbridge-standins/springbridge_standins/rates/statement_record.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/statement_record.py
@@ -1,19 +1,19 @@
-"""What reached an endpoint beside what it had said of leaving and rest, by the users' rules.
+"""Records the requests of an endpoint that leaves or asks for rest, and checks the users' rules.
 
-Nothing that a caller sent later than DRAIN_S after an instance had passed on an answer which says
-that the endpoint leaves may reach it from that instance, and no more than two requests from an
-instance in a rest that it was asked for. An instance that was harmed a moment ago is excused, and
-one that started again is another one.
+A request that a caller sent later than DRAIN_S after an instance forwarded an answer which
+announces that the endpoint leaves may not reach it from that instance; and at most two requests from
+an instance may reach it in a rest that the instance was asked for. An instance that had a fault
+shortly before is excused, and a restarted one counts as a different one.
 """
 
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-# Seconds after an answer that says so in which an endpoint that leaves may get requests; also the
-# drain time in the settings of the soak's nodes.
+# Time after its announcement in which a leaving endpoint may get requests; also the drain time in
+# the settings of the soak's nodes.
 DRAIN_S = 2.0
-# Seconds after an answer that asks for rest in which requests may be under way.
-UNDER_WAY_S = 0.5
+# Time after an answer that asks for rest in which requests may still be in progress.
+IN_PROGRESS_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     Attributes:
       instance: Incarnation of the instance.
       sent_s: When its caller sent it.
-      is_excused: Whether the instance was harmed a moment before.
+      is_excused: Whether the instance had a fault shortly before.
     """
 
     instance: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestAsked:
-    """A wish for rest."""
+    """An answer that asked for rest: when, and for how many seconds."""
 
     at_s: float
     rest_s: float
@@ -41,7 +41,7 @@
 
 @dataclass
 class StatementRecord:
-    """One endpoint: what it said to whom, and what reached it from whom."""
+    """Announcements to and requests from each instance, at one endpoint."""
 
     _arrivals: dict[str, list[tuple[Request, float]]] = field(
         default_factory=lambda: defaultdict(list)
@@ -50,23 +50,23 @@
     _rests: dict[str, list[RestAsked]] = field(default_factory=lambda: defaultdict(list))
 
     def arrived(self, request: Request, at_s: float) -> None:
-        """Note that a request arrives."""
+        """Record the arrival of a request."""
         self._arrivals[request.instance].append((request, at_s))
 
     def passed_on(self, instance: str, at_s: float) -> None:
-        """Note that an instance has passed on an answer which says that the endpoint leaves."""
+        """Record that an instance forwarded an answer which announces that the endpoint leaves."""
         self._passed_on_s.setdefault(instance, at_s)
 
     def asked_rest(self, request: Request, at_s: float, rest_s: float) -> None:
-        """Note that a request is turned away with a wish for rest."""
+        """Record that a request is rejected with an answer that asks for rest."""
         self._rests[request.instance].append(RestAsked(at_s, rest_s))
 
     def said_to(self) -> int:
-        """Return how many instances it said something to."""
+        """Return how many instances got an announcement."""
         return len({*self._passed_on_s, *self._rests})
 
     def late(self) -> int:
-        """Return how many requests came too late after the word that the endpoint leaves."""
+        """Return how many requests were sent over DRAIN_S after the announcement to leave."""
         return sum(
             request.sent_s > passed_on_s + DRAIN_S and not request.is_excused
             for instance, passed_on_s in self._passed_on_s.items()
@@ -74,11 +74,11 @@
         )
 
     def most_in_a_rest(self) -> int:
-        """Return the most requests that one instance sent in a rest."""
+        """Return the most requests from one instance in a rest that it was asked for."""
         return max(
             (
                 sum(
-                    rest.at_s + UNDER_WAY_S < at_s < rest.at_s + rest.rest_s
+                    rest.at_s + IN_PROGRESS_S < at_s < rest.at_s + rest.rest_s
                     and not request.is_excused
                     for request, at_s in self._arrivals[instance]
                 )
--- a/packages/springbridge-standins/springbridge_standins/rates/ways.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/ways.py
@@ -1,7 +1,8 @@
-"""Other ways to share an endpoint's rate, to compare with the permits of one granter.
+"""Alternative algorithms to share an endpoint's rate, for comparison with permits of one granter.
 
-Both are given more than a fleet has: every instance knows at once which endpoints have a rate, and
-AskedParts what each instance was asked lately. They show the most that such a way can reach.
+Both know more than a real fleet does: every instance knows at once which endpoints have a limit,
+and AskedPartsGate also the recent load of each instance. They show the best that such algorithms
+can reach.
 """
 
 import asyncio
@@ -11,41 +12,45 @@
 from springbridge.routing.giving_up import RatesExhausted
 from springbridge.routing.records import EndpointEntry
 
-from springbridge_standins.rates.fleet import DrawnExchange, DrawnFleet, DrawnInstance
+from springbridge_standins.rates.fleet import (
+    SimulatedExchange,
+    SimulatedInstance,
+    SimulatedRateFleet,
+)
 
-# Permits that an instance keeps at the most.
+# Most unused permits that an instance keeps at low rates.
 KEPT = 1.0
-# Seconds of what instances were asked that their parts follow.
+# Span of recent load that determines the share of an instance.
 ASKED_S = 2.0
 
 
 @dataclass
 class PartsGate:
-    """An instance that keeps to its own part of each rate, counted on its own.
+    """Gate of an instance that uses a fixed share of each rate, without coordination.
 
     Attributes:
-      asked_s: When it was asked lately.
+      asked_s: Times of recent requests.
     """
 
-    instance: DrawnInstance
+    instance: SimulatedInstance
     asked_s: deque[float] = field(default_factory=deque)
     _left: dict[str, float] = field(default_factory=dict)
     _counted_s: dict[str, float] = field(default_factory=dict)
 
     def part(self) -> float:
-        """Return the part of a rate that the instance takes: equal parts."""
+        """Return the instance's share of a rate: the same for all live instances."""
         return 1.0 / len(self.instance.view.live())
 
-    def held_back(self, exchange: DrawnExchange) -> set[str]:
-        """Return the endpoints whose part is spent."""
+    def held_back(self, exchange: SimulatedExchange) -> set[str]:
+        """Return the ids of the endpoints for which no permit is left."""
         return {
             each.entry.endpoint_id
             for each in self.instance.fleet.endpoints
             if each.record.per_s() is not None and self._permits(each.entry) < 1.0
         }
 
-    async def acquire_permit(self, exchange: DrawnExchange, entry: EndpointEntry) -> bool:
-        """Return whether a request may be sent, and count it."""
+    async def acquire_permit(self, exchange: SimulatedExchange, entry: EndpointEntry) -> bool:
+        """Take a permit if the endpoint has a limit; return whether the request may be sent."""
         self.asked_s.append(asyncio.get_running_loop().time())
         if self._rate(entry) is None:
             return True
@@ -54,8 +59,8 @@
         self._left[entry.endpoint_id] -= 1.0
         return True
 
-    def exhausted_rates(self, exchange: DrawnExchange) -> RatesExhausted | None:
-        """Note that a request was refused."""
+    def exhausted_rates(self, exchange: SimulatedExchange) -> RatesExhausted | None:
+        """Count a refused request as load; there is never a Retry-After."""
         self.asked_s.append(asyncio.get_running_loop().time())
 
     def _rate(self, entry: EndpointEntry) -> float | None:
@@ -63,7 +68,7 @@
         return next(found).record.per_s()
 
     def _permits(self, entry: EndpointEntry) -> float:
-        """Return the permits for an endpoint, with the remainder carried on."""
+        """Return the permits left for an endpoint, refilled for the time since the last call."""
         now_s = asyncio.get_running_loop().time()
         per_s = (self._rate(entry) or 0.0) * self.part()
         came_up = per_s * (now_s - self._counted_s.get(entry.endpoint_id, now_s))
@@ -74,10 +79,10 @@
 
 
 class AskedPartsGate(PartsGate):
-    """One whose part follows what each instance was asked lately."""
+    """A gate whose share is proportional to the recent load of its instance."""
 
     def part(self) -> float:
-        """Return the part that this instance was asked of what all were."""
+        """Return this instance's share of the recent load of all instances."""
         fleet = self.instance.fleet
         asked = {each.address: _asked(each.gate) for each in fleet.instances}
         mine = asked.get(self.instance.address, 0)
@@ -85,7 +90,7 @@
 
 
 def _asked(gate: PartsGate) -> int:
-    """Return how often an instance was asked lately."""
+    """Return the number of requests at an instance in the last ASKED_S."""
     oldest_s = asyncio.get_running_loop().time() - ASKED_S
     while gate.asked_s and gate.asked_s[0] < oldest_s:
         gate.asked_s.popleft()
@@ -99,6 +104,6 @@
 }
 
 
-def fleet_of(way: str, rng, size: int, endpoints: int) -> DrawnFleet:
-    """Return a fleet that shares rates in one of the WAYS."""
-    return DrawnFleet(rng, size, endpoints, WAYS[way])
+def fleet_of(way: str, rng, size: int, endpoints: int) -> SimulatedRateFleet:
+    """Return a fleet that shares rates by one of the WAYS."""
+    return SimulatedRateFleet(rng, size, endpoints, WAYS[way])
