--- a/packages/springbridge-standins/springbridge_standins/capacity/capacity.py
+++ b/packages/springbridge-standins/springbridge_standins/capacity/capacity.py
@@ -2,8 +2,8 @@
 
 Each measurement varies one quantity over at least four sizes, repeats each size, fits a line by
 least squares and prints its slope, its intercept (start) and the largest deviation of a repeat
-from the median of its size. The costs of whole nodes (CPU, memory, bytes, calls) have to be measured
-on a running fleet.
+from the median of its size. The costs of whole nodes (CPU, memory, bytes, calls) have to be
+measured on a running fleet.
 """
 
 from springbridge.membership import DIGEST_LIMIT
