--- a/packages/springbridge-standins/springbridge_standins/rates/statement_record.py
+++ b/packages/springbridge-standins/springbridge_standins/rates/statement_record.py
@@ -2,8 +2,8 @@
 
 A request that a caller sent later than DRAIN_S after an instance forwarded an answer which
 announces that the endpoint leaves may not reach it from that instance; and at most two requests
-from an instance may reach it in a rest that the instance was asked for. An instance that had a fault
-shortly before is excused, and a restarted one counts as a different one.
+from an instance may reach it in a rest that the instance was asked for. An instance that had a
+fault shortly before is excused, and a restarted one counts as a different one.
 """
 
 from collections import defaultdict
