--- a/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
+++ b/packages/springbridge-node/springbridge_node/gateway/requests/rate_parts_test.py
@@ -158,7 +158,7 @@
         older = replace(fleet.instances[old].member, heartbeat=FIRST_HEARTBEAT_WITH_LOOKUPS + 9)
         for each in fleet.instances:
             if each is not fleet.instances[old]:
-                each.view._there(older)
+                each.view._add(older)
         first = fleet.instances[(old + 1) % 8]
         granter = first.parts._permits._granters.of(fleet.endpoints[0].entry)
         assert_that(granter.peer_address == older.peer_address, Is(False))
@@ -218,7 +218,7 @@
         granter, asker = fleet.instances[number], fleet.instances[(number + 1) % 8]
         behind_a_cut = [each for each in fleet.instances if each not in (granter, asker)][:4]
         for each in behind_a_cut:
-            granter.view._gone(each.member)
+            granter.view._remove(each.member)
         got = await granted_by(asker, 20.0, 10.0)
         assert_that(got, GreaterThan(0.4 * 20.0 * 10.0))
         assert_that(got, LessThan(0.6 * 20.0 * 10.0))
