--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -18,7 +18,7 @@
 SUSPENSION = f"{PLATFORM}/suspension_test.py"
 PERMITS = f"{NODE}/gateway/peers/trial_permits_test.py"
 SIMULATION = f"{STANDINS}/crash_simulation_test.py"
-NEWS = f"{STANDINS}/gateway/simulated_crash_news_test.py"
+NEWS = f"{STANDINS}/gateway/simulated_crash_sharing_test.py"
 FOLLOWER = f"{NODE}/gateway/config/configuration_follower_test.py"
 
 USERS_PLATFORM = (
@@ -230,7 +230,7 @@
         f"{LIBRARY}/trials.py",
         "        if now_s < due_s:",
         "        if False:",
-        f"{SIMULATION}::test_a_request_that_ends_endpoints_reaches_few_more",
+        f"{SIMULATION}::test_a_poison_request_reaches_few_endpoints_after_its_third_crash",
     ),
     Mutant(
         "suspects of the same crashes are tried apart",
