--- a/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/at_most_once_test.py
@@ -8,7 +8,7 @@
 import pytest
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
-from springbridge_standins.class_router.caller import until
+from springbridge_standins.class_router.caller import wait_until
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
 
@@ -23,7 +23,7 @@
     async def runs():
         return await executions(world, request_id) > 0
 
-    assert_that(await until(runs, 20.0), Is(True))
+    assert_that(await wait_until(runs, 20.0), Is(True))
 
 
 def send(world, name, call):
@@ -73,12 +73,12 @@
     async def scenario():
         addresses = [cells["address"] for cells in shared_world.endpoints("service").values()]
         for address in addresses:
-            await shared_world.fault(address, refuse=True)
+            await shared_world.set_faults(address, refuse=True)
         request_id = await homed_id(shared_world, "node-2")
         call = call_of("claim-booking", request_id=request_id, service="claims-application")
         first = await send(shared_world, "node-2", call)
         for address in addresses:
-            await shared_world.fault(address, refuse=False)
+            await shared_world.set_faults(address, refuse=False)
         again = [await send(shared_world, name, call) for name in ("node-2", "node-1", "node-3")]
         assert_that(first.fate, Equals("not run"))
         assert_that({reply.code for reply in again}, Equals({Code.REFUSED_BEFORE}))
@@ -129,7 +129,7 @@
 
     async def scenario():
         for cells in world.endpoints("service").values():
-            await world.fault(cells["address"], delay_s=1.0)
+            await world.set_faults(cells["address"], delay_s=1.0)
         request_id = await homed_id(world, "node-1")
         call = call_of("claim-booking", request_id=request_id, service="claims-application")
         first = send(world, "node-1", call)
@@ -169,7 +169,7 @@
 
     async def scenario():
         for cells in world.endpoints("service").values():
-            await world.fault(cells["address"], cut=True)
+            await world.set_faults(cells["address"], cut=True)
         request_id = await homed_id(world, "node-1")
         call = call_of("claim-booking", request_id=request_id, service="claims-application")
         replies = [await send(world, name, call) for name in ("node-1", "node-2")]
@@ -186,7 +186,7 @@
         first = send(world, "node-1", call)
         await started(world, request_id)
         for cells in world.endpoints("model").values():
-            await world.fault(cells["address"], crash=1.0)
+            await world.set_faults(cells["address"], crash=1.0)
         reply = await first
         again = await send(world, "node-2", call)
         assert_that(reply.whole or again.whole, Is(False))
@@ -208,7 +208,7 @@
 
 def test_claim_with_its_reply_lost(run, world):
     async def scenario():
-        await world.fault(world.platform, lose_replies=1)
+        await world.set_faults(world.platform, lose_replies=1)
         call = call_of("claim-answers", request_id="claimed-with-lost-reply")
         first = await send(world, "node-1", call)
         second = await send(world, "node-2", call)
@@ -222,12 +222,12 @@
     """Another node may have run the id before, so nobody can promise that it was not run."""
 
     async def scenario():
-        await world.fault(world.platform, out=True)
+        await world.set_faults(world.platform, out=True)
         call = call_of("claim-answers", request_id="claimed-in-outage")
         refused = await send(world, "node-1", call)
         assert_that(refused.code, Is(Code.OUTCOME_UNKNOWN))
         assert_that(await executions(world, "claimed-in-outage"), Equals(0))
-        await world.fault(world.platform, out=False)
+        await world.set_faults(world.platform, out=False)
         again = await send(world, "node-1", call)
         assert_that(again.code, Is(Code.OUTCOME_UNKNOWN))
         elsewhere = await send(world, "node-2", call)
@@ -259,7 +259,7 @@
             reply = await world.caller.send(abroad.caller_address, call)
             return reply.code is Code.OUTCOME_UNKNOWN
 
-        assert_that(await until(refuses, 20.0), Is(True))
+        assert_that(await wait_until(refuses, 20.0), Is(True))
         assert_that((await first).whole, Is(True))
 
     run(scenario())
@@ -268,7 +268,7 @@
 def test_id_refused_by_a_limit_stays_refused(run, world):
     async def scenario():
         version = await world.edit(world.nodes["node-1"], "limit", [limit_row(world, 1)])
-        assert_that(await world.ready(list(world.nodes.values()), version), Is(True))
+        assert_that(await world.wait_ready(list(world.nodes.values()), version), Is(True))
         await asyncio.sleep(3.0)
         ids = [await homed_id(world, "node-1") for _ in range(6)]
         calls = [call_of("claim-answers", LONG, request_id=one) for one in ids]
--- a/packages/springbridge-node/springbridge_node/class_router/callers_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/callers_test.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 from springbridge.codes import INFO, Code
-from springbridge_standins.class_router.caller import until
+from springbridge_standins.class_router.caller import wait_until
 from springbridge_standins.class_router.engine import answer_tag, answer_text
 from testtools.assertions import assert_that
 from testtools.matchers import Contains, Equals, Is, Not
@@ -89,12 +89,12 @@
     async def scenario():
         endpoints = [cells["address"] for cells in shared_world.endpoints("model").values()]
         for address in endpoints:
-            await shared_world.fault(address, garble=garble)
+            await shared_world.set_faults(address, garble=garble)
         call = call_of(request_class, 24)
         node = shared_world.nodes["node-2"]
         reply = await shared_world.caller.send(node.caller_address, call)
         for address in endpoints:
-            await shared_world.fault(address, garble="")
+            await shared_world.set_faults(address, garble="")
         assert_that(reply.code is Code.OK, Is(reply.whole))
         assert_that(reply.fate, Not(Equals("not run")))
         if garble == "repeat":
@@ -128,9 +128,9 @@
         async def idle():
             return await active() == 0
 
-        assert_that(await until(runs, 20.0), Is(True))
+        assert_that(await wait_until(runs, 20.0), Is(True))
         sock.close()
-        assert_that(await until(idle, 20.0), Is(True))
+        assert_that(await wait_until(idle, 20.0), Is(True))
 
     run(scenario())
 
@@ -156,8 +156,8 @@
             reply = await world.caller.send(address.address, call_of("item-descriptions", 8))
             return reply.code is Code.NODE_LEAVING
 
-        assert_that(await until(dropped, 20.0), Is(True))
-        assert_that(await until(refuses, 20.0), Is(True))
+        assert_that(await wait_until(dropped, 20.0), Is(True))
+        assert_that(await wait_until(refuses, 20.0), Is(True))
         assert_that((await long).whole, Is(True))
         assert_that(await stopping, Equals(0))
 
@@ -173,7 +173,7 @@
             reply = await world.caller.send(node.caller_address, call_of("claim-answers"))
             return reply.code is Code.WRONG_PLACE
 
-        assert_that(await until(answers, 20.0), Is(True))
+        assert_that(await wait_until(answers, 20.0), Is(True))
         other = world.nodes["node-1"].caller_address
         found = await world.caller.addresses(other, KEY, "claim-answers")
         assert_that(node.caller_address in [one.address for one in found], Is(False))
--- a/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
+++ b/packages/springbridge-node/springbridge_node/class_router/configuration_test.py
@@ -5,7 +5,7 @@
 import pytest
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
-from springbridge_standins.class_router.caller import until
+from springbridge_standins.class_router.caller import wait_until
 from springbridge_standins.free_addresses import free_address
 from springbridge_standins.proxy import running_relay
 from testtools.assertions import assert_that
@@ -39,7 +39,7 @@
     async def does():
         return await serves(world, name) is code
 
-    return await until(does, 30.0, 0.2)
+    return await wait_until(does, 30.0, 0.2)
 
 
 def test_racing_operators(run, world):
@@ -70,7 +70,7 @@
         assert_that(len(accepted), Equals(2))
         assert_that(refused, Equals({Code.VERSION_CONFLICT}))
         assert_that([change["version"] for change in trail], Equals([1, 2, 3]))
-        assert_that(await world.ready(nodes, 3), Is(True))
+        assert_that(await world.wait_ready(nodes, 3), Is(True))
 
     run(scenario())
 
@@ -94,7 +94,7 @@
     """The change is settled by reading back: accepted once, with one row of audit."""
 
     async def scenario():
-        await world.fault(world.platform, **{fault: 1})
+        await world.set_faults(world.platform, **{fault: 1})
         edit = weight_edit(world, ROW, world.rows[ROW]["weight"], "5")
         node = world.nodes["node-1"]
         version = await world.edit(node, "lost", [edit])
@@ -104,7 +104,7 @@
             async def settled():
                 return await world.edit(node, "lost", [edit]) == 2
 
-            assert_that(await until(settled, 20.0), Is(True))
+            assert_that(await wait_until(settled, 20.0), Is(True))
         again = await world.edit(world.nodes["node-2"], "lost", [edit])
         trail = await world.audit(world.nodes["node-1"])
         assert_that(again, Equals(2))
@@ -119,7 +119,7 @@
     """All nodes go on, no change is accepted, and a new node gets the table from its peers."""
 
     async def scenario():
-        await world.fault(world.platform, out=True)
+        await world.set_faults(world.platform, out=True)
         edit = weight_edit(world, ROW, world.rows[ROW]["weight"], "5")
         refused = await world.edit(world.nodes["node-1"], "in-outage", [edit])
         await asyncio.sleep(5.0)
@@ -128,7 +128,7 @@
         codes = [await serves(world, name) for name in world.nodes]
         assert_that(refused < 0, Is(True))
         assert_that(codes, Equals([Code.OK] * 4))
-        await world.fault(world.platform, out=False)
+        await world.set_faults(world.platform, out=False)
         state = await world.status(world.nodes["node-4"])
         assert_that(state["version"], Equals(1))
 
@@ -145,7 +145,7 @@
             edit = weight_edit(world, ROW, world.rows[ROW]["weight"], "5")
             version = await world.edit(world.nodes["node-1"], "past-the-cut", [edit])
             assert_that(version, Equals(2))
-            assert_that(await world.ready([node], version), Is(True))
+            assert_that(await world.wait_ready([node], version), Is(True))
             await asyncio.sleep(4.0)
             assert_that(await serves(world, "node-4"), Is(Code.OK))
 
@@ -185,7 +185,7 @@
         state = await world.status(node)
         served_old = code is Code.OK and state["version"] < version
         assert_that(served_old, Is(False))
-        assert_that(await world.ready([node], version), Is(True))
+        assert_that(await world.wait_ready([node], version), Is(True))
 
     run(scenario())
 
@@ -199,6 +199,6 @@
         world.nodes.clear()
         nodes = [await world.start_node(f"new-{n}", "perth-a") for n in range(3)]
         assert_that(version, GreaterThan(1))
-        assert_that(await world.ready(nodes, version), Is(True))
+        assert_that(await world.wait_ready(nodes, version), Is(True))
 
     run(scenario())
--- a/packages/springbridge-node/springbridge_node/class_router/conftest.py
+++ b/packages/springbridge-node/springbridge_node/class_router/conftest.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from springbridge_standins.class_router.caller import Address, Call, new_id, until
+from springbridge_standins.class_router.caller import Address, Call, new_id, wait_until
 from springbridge_standins.class_router.world import World, running_world
 
 KEY = "key-perth-airport"
@@ -67,5 +67,5 @@
             return False
         return True
 
-    await until(answers, 10.0)
+    await wait_until(answers, 10.0)
     return found
--- a/packages/springbridge-standins/springbridge_standins/class_router/caller.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/caller.py
@@ -1,4 +1,4 @@
-"""A caller as tests and the soak use it: asks for addresses, sends requests, checks answers."""
+"""Client of the class router for tests and the soak: sends requests and checks the answers."""
 
 import asyncio
 import secrets
@@ -12,9 +12,9 @@
 from springbridge_standins.class_router.engine import answer_tag, answer_text
 from springbridge_standins.http_wire import RawAnswer, fetch
 
-# Longer than any answer of a test; the nodes' own deadlines have to end a request.
+# Longer than any answer of a test, so that requests end by the deadlines of the nodes.
 REQUEST_TIMEOUT_S = 600.0
-# A node that gives no addresses within this is passed over for another.
+# After this time the caller asks another node for addresses.
 ADDRESS_TIMEOUT_S = 2.0
 DATA = b"data: "
 DONE = b"data: [DONE]"
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True)
 class Call:
-    """One request of a caller; tokens is the true length of the answer, which no node looks at."""
+    """One request of a caller.
+
+    Attributes:
+      tokens: Length of the whole answer; nodes do not read it.
+    """
 
     key: str
     request_class: str
@@ -35,14 +39,14 @@
 
 @dataclass
 class Reply:
-    """How a call ended.
+    """The result of a call.
 
     Attributes:
-      code: The result code; None where the connection broke without one.
-      fate: What the answer says of the call's execution, such as "not run".
+      code: The result code; None if the connection broke before one arrived.
+      fate: Whether the request was executed, according to the answer, such as "not run".
       whole: Whether the answer is complete and belongs to the call.
-      total_s: Time to the end.
-      retry_after_s: When to come back; 0 if nothing was said.
+      total_s: Time from sending the call to its end.
+      retry_after_s: Time after which to retry; 0 if the answer names none.
     """
 
     code: Code | None = None
@@ -53,7 +57,7 @@
     text: str = ""
 
     def note_error(self, error: dict) -> None:
-        """Take over what an error says."""
+        """Copy the code, fate and retry time of an error object."""
         self.code = Code(error["code"])
         self.fate = error["fate"]
         self.retry_after_s = error["retry_after_s"] or 0.0
@@ -61,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Address:
-    """An address that a node gives callers."""
+    """An address for callers, as listed by a node; request ids made for it begin with id_prefix."""
 
     address: str
     failure_domain: str
@@ -69,25 +73,27 @@
 
 
 class Caller:
-    """Sends calls and judges their answers."""
+    """Sends calls and checks that their answers are complete."""
 
     async def addresses(self, node: str, key: str, request_class: str) -> list[Address]:
-        """Return the addresses that a node gives for a class; none if it does not answer."""
+        """Return the addresses that a node lists for a class; none if it does not answer."""
         path = f"/v1/addresses?class={request_class}"
         bearer = f"Bearer {key}"
         try:
-            got = await fetch(node, "GET", path, timeout_s=ADDRESS_TIMEOUT_S, Authorization=bearer)
+            answer = await fetch(
+                node, "GET", path, timeout_s=ADDRESS_TIMEOUT_S, Authorization=bearer
+            )
         except OSError:
             return []
-        if got.status != 200 or not got.whole:
+        if answer.status != 200 or not answer.whole:
             return []
-        found = orjson.loads(got.body)["addresses"]
+        found = orjson.loads(answer.body)["addresses"]
         return [Address(one["address"], one["place"], one["id_prefix"]) for one in found]
 
     async def send(self, address: str, call: Call) -> Reply:
-        """Send a call to a node and return how it ended."""
+        """Send a call to a node and return the result."""
         started_s = monotonic()
-        path, body = _asked(call)
+        path, body = _request_parts(call)
         headers = {
             "Authorization": f"Bearer {call.key}",
             "Springbridge_Class": call.request_class,
@@ -97,21 +103,21 @@
         reply = Reply()
         try:
             raw = orjson.dumps(body)
-            got = await fetch(address, "POST", path, raw, REQUEST_TIMEOUT_S, **headers)
+            answer = await fetch(address, "POST", path, raw, REQUEST_TIMEOUT_S, **headers)
         except OSError:
             return reply
-        if got.status != 200:
-            _read_error(reply, got)
+        if answer.status != 200:
+            _read_error(reply, answer)
         elif call.service:
-            _read_service(reply, got, call)
+            _read_service(reply, answer, call)
         else:
-            _read_stream(reply, got, call)
+            _read_stream(reply, answer, call)
         reply.total_s = monotonic() - started_s
         return reply
 
 
-def _asked(call: Call) -> tuple[str, dict]:
-    """Return the path and the body of a call."""
+def _request_parts(call: Call) -> tuple[str, dict]:
+    """Return the path and the body of a call's HTTP request."""
     if call.service:
         return f"/v1/services/{call.service}/run", {"prompt": call.prompt}
     messages = [{"role": "user", "content": call.prompt}]
@@ -119,24 +125,24 @@
     return "/v1/chat/completions", body
 
 
-def _read_error(reply: Reply, got: RawAnswer) -> None:
-    """Take over the error of an answer; one that is cut or has none leaves the reply empty."""
+def _read_error(reply: Reply, answer: RawAnswer) -> None:
+    """Copy the error of an answer; a truncated answer or one without an error changes nothing."""
     try:
-        reply.note_error(orjson.loads(got.body)["error"])
+        reply.note_error(orjson.loads(answer.body)["error"])
     except (ValueError, KeyError):
         return
 
 
-def _read_service(reply: Reply, got: RawAnswer, call: Call) -> None:
-    """Take over a service's answer."""
-    if got.whole:
+def _read_service(reply: Reply, answer: RawAnswer, call: Call) -> None:
+    """Copy the result of a service's answer."""
+    if answer.whole:
         reply.code = Code.OK
-        reply.whole = orjson.loads(got.body)["request"]["prompt"] == call.prompt
+        reply.whole = orjson.loads(answer.body)["request"]["prompt"] == call.prompt
 
 
-def _read_stream(reply: Reply, got: RawAnswer, call: Call) -> None:
-    """Take over the events of a stream; what follows the last whole line is no event."""
-    lines = got.body.split(b"\n")[:-1]
+def _read_stream(reply: Reply, answer: RawAnswer, call: Call) -> None:
+    """Copy the events of a stream; an incomplete last line is ignored."""
+    lines = answer.body.split(b"\n")[:-1]
     for line in lines:
         if line.startswith(DATA) and line != DONE:
             event = orjson.loads(line.removeprefix(DATA))
@@ -151,31 +157,31 @@
 
 
 def new_id(address: Address) -> str:
-    """Return a request id whose home is the node at an address."""
+    """Return a new request id whose home is the node at an address."""
     return address.id_prefix + secrets.token_hex(6)
 
 
-async def control(address: str, path: str, body: object = None) -> dict:
-    """Read from a stand-in or switch its faults.
+async def call_standin(address: str, path: str, body: object = None) -> dict:
+    """Read counters from a stand-in, or post a JSON body such as its faults.
 
     Raises:
       OSError: The stand-in is down.
-      RuntimeError: It is up and does not do what is asked.
+      RuntimeError: The stand-in is up, but timed out or answered with an error status.
     """
     method, raw = ("GET", b"") if body is None else ("POST", orjson.dumps(body))
     try:
-        got = await fetch(address, method, path, raw)
+        answer = await fetch(address, method, path, raw)
     except TimeoutError as exc:
         raise RuntimeError(f"{address} does not answer on {path}") from exc
-    if got.status != 200:
-        raise RuntimeError(f"{address} answers {path} with {got.status}")
-    return orjson.loads(got.body)
+    if answer.status != 200:
+        raise RuntimeError(f"{address} answers {path} with {answer.status}")
+    return orjson.loads(answer.body)
 
 
-async def until(
+async def wait_until(
     condition: Callable[[], Awaitable[bool]], timeout_s: float, pause_s: float = 0.05
 ) -> bool:
-    """Wait until an asynchronous condition holds; return whether it did in time."""
+    """Poll an asynchronous condition; return whether it held before the timeout."""
     end_s = monotonic() + timeout_s
     while monotonic() < end_s:
         if await condition():
--- a/packages/springbridge-standins/springbridge_standins/class_router/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/engine.py
@@ -1,8 +1,8 @@
-"""Stand-in for a model engine: continuous batching, priorities, resume, faults.
+"""Stand-in for a model engine: continuous batching, priorities, resume, fault injection.
 
-Each step brings every stream of the batch TOKENS_PER_STEP tokens, and a step takes longer the more
-streams there are. The text of a token is derived from the prompt and its offset, so that a reader
-can tell whether an answer is whole and its own.
+Each step generates TOKENS_PER_STEP tokens for every stream of the batch; the time of a step grows
+with the number of streams. The text of a token is derived from the prompt and its offset, so that a
+reader can tell whether an answer is complete and belongs to its own prompt.
 """
 
 import asyncio
@@ -17,21 +17,21 @@
 from springbridge_standins.http_standin import running
 from springbridge_standins.http_wire import Connection, RawRequest, chunk, stream_head
 
-# Tokens that a stream gets at once. Not measured; chosen, as the other rates of this engine.
+# Tokens that a step generates for each stream.
 TOKENS_PER_STEP = 4
 # Time of a step with an empty batch.
 STEP_S = 0.1
 # Share of STEP_S that each stream of the batch adds, so that nodes have a limit to learn.
 STEP_SLOPE = 0.08
-# Streams that a step brings forward; others wait.
+# Largest number of streams in a batch; others wait.
 MAX_BATCH = 32
-# Streams that may wait; beyond this the engine turns jobs away.
+# Largest number of waiting streams; beyond it the engine rejects jobs.
 QUEUE_LIMIT = 64
-# Age of the load that is reported, since reports of real engines lag.
+# Age of the load that is reported; the load reports of real engines lag too.
 REPORT_LAG_S = 1.0
-# Length of an answer where the request names none.
+# Length of an answer if the request sets no max_tokens.
 DEFAULT_TOKENS = 40
-# How soon a frozen engine notices that it is to go on.
+# Interval at which a frozen engine checks whether it has been unfrozen.
 FROZEN_POLL_S = 0.05
 
 
@@ -41,9 +41,9 @@
 
     Attributes:
       slow: Factor on the time of each step.
-      frozen: Whether nothing moves and nothing is answered.
-      refuse: Whether new jobs are turned away before they start.
-      garble: What to spoil in streams: gap, foreign, repeat, cut or nothing.
+      frozen: Whether steps and answers are suspended.
+      refuse: Whether new jobs are rejected before they start.
+      garble: How to corrupt streams: gap, foreign, repeat or cut; empty for not at all.
     """
 
     slow: float = 1.0
@@ -54,7 +54,7 @@
 
 @dataclass(eq=False)
 class Stream:
-    """One job; offset is the number of tokens of the answer that exist."""
+    """One job; offset is the number of tokens of the answer generated so far."""
 
     job_id: str
     tag: str
@@ -69,29 +69,29 @@
         """Return whether the answer is complete."""
         return self.offset >= self.total
 
-    def wake(self) -> None:
-        """Wake the readers."""
+    def notify_readers(self) -> None:
+        """Wake the tasks that wait for the next change."""
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
     def end(self) -> None:
-        """Stop, whole or not."""
+        """End the stream, whether the answer is complete or not."""
         self.ended = True
-        self.wake()
+        self.notify_readers()
 
 
 def answer_tag(prompt: str) -> str:
-    """Return what all tokens of the answer to a prompt begin with."""
+    """Return the prefix of all tokens of the answer to a prompt."""
     return hashlib.sha256(prompt.encode()).hexdigest()[:8]
 
 
 def answer_text(tag: str, start: int, end: int) -> str:
-    """Return the tokens of an answer from start to before end."""
+    """Return the tokens of an answer with offsets from start up to, not including, end."""
     return "".join(f"{tag}:{number} " for number in range(start, end))
 
 
 class ModelEngine(JsonStandIn):
-    """One engine."""
+    """A model engine; checks_tokens is whether it rejects orders with an old fencing token."""
 
     def __init__(self, address: str, checks_tokens: bool = True) -> None:
         """Start idle; address is IP number:port."""
@@ -114,29 +114,29 @@
         self._crash: asyncio.Task | None = None
 
     async def run(self) -> None:
-        """Serve and step until cancelled."""
+        """Serve requests and generate tokens until cancelled."""
         async with running(self):
             while True:
-                await self._thawed()
+                await self._wait_while_frozen()
                 await asyncio.sleep(STEP_S * (1 + STEP_SLOPE * len(self.batch)) * self.faults.slow)
                 if not self.faults.frozen:
                     self._step()
 
-    def switch(self, wanted: dict) -> None:
-        """Switch the faults that are named; crash names the seconds to stay down."""
-        crash_s = wanted.pop("crash", None)
-        super().switch(wanted)
+    def set_faults(self, new_faults: dict) -> None:
+        """Set the given faults; "crash" crashes the engine and gives the seconds it stays down."""
+        crash_s = new_faults.pop("crash", None)
+        super().set_faults(new_faults)
         if crash_s is not None:
             self._crash = asyncio.create_task(self.crash(crash_s))
 
     def counters(self) -> dict:
-        """Return what the engine has done."""
+        """Return how often each job was started, the number of active jobs, and the orders."""
         active = len(self.batch) + len(self.waiting)
         return {"started": self.started, "active": active, "orders": self.orders}
 
     async def crash(self, down_s: float) -> None:
-        """Lose all jobs and connections, refuse connections for a while, then come back empty."""
-        # Without a reset, which could overtake the answer to the call that wants the crash.
+        """Drop all jobs and connections, refuse connections for down_s, then restart empty."""
+        # Close, not reset: a reset could overtake the answer to the call that sets the fault.
         self.stop(Connection.close)
         for stream in self.streams.values():
             stream.end()
@@ -147,25 +147,25 @@
         await self.start()
 
     def _step(self) -> None:
-        """Bring each stream of the batch its next tokens."""
-        # Sorting is stable: equally urgent jobs keep the order of their arrival.
+        """Fill the batch from the queue and generate the next tokens of each stream."""
+        # The sort is stable: jobs of equal priority stay in order of arrival.
         self.waiting.sort(key=lambda stream: stream.priority)
         while self.waiting and len(self.batch) < MAX_BATCH:
             self.batch.append(self.waiting.pop(0))
         for stream in self.batch:
             stream.offset += min(TOKENS_PER_STEP, stream.total - stream.offset)
             stream.ended = stream.whole
-            stream.wake()
+            stream.notify_readers()
         self.batch = [stream for stream in self.batch if not stream.ended]
 
-    async def _thawed(self) -> None:
-        """Return when the engine is not frozen."""
+    async def _wait_while_frozen(self) -> None:
+        """Wait while the engine is frozen."""
         while self.faults.frozen:
             await asyncio.sleep(FROZEN_POLL_S)
 
     async def _generate(self, request: RawRequest, connection: Connection) -> None:
         """Start a job and stream its answer."""
-        await self._thawed()
+        await self._wait_while_frozen()
         if self.faults.refuse or len(self.waiting) >= QUEUE_LIMIT:
             await send_json(connection, {}, 503, Engine_Admitted="no")
             return
@@ -179,8 +179,8 @@
         await self._send_stream(connection, stream, stream.offset)
 
     async def _resume(self, request: RawRequest, connection: Connection, job_id: str) -> None:
-        """Stream the answer of a job that the engine has, from an offset on."""
-        await self._thawed()
+        """Stream the answer of an existing job from an offset on."""
+        await self._wait_while_frozen()
         stream = self.streams.get(job_id)
         if stream is None:
             await send_json(connection, {}, 404, Engine_Admitted="no")
@@ -188,8 +188,8 @@
         await self._send_stream(connection, stream, int(request.query.get("offset", "0")))
 
     async def _cancel(self, request: RawRequest, connection: Connection, job_id: str) -> None:
-        """Stop a job."""
-        await self._thawed()
+        """Cancel a job; an unknown job is ignored."""
+        await self._wait_while_frozen()
         stream = self.streams.pop(job_id, None)
         if stream is not None:
             stream.end()
@@ -199,7 +199,7 @@
 
     async def _load(self, request: RawRequest, connection: Connection) -> None:
         """Report the load as it was REPORT_LAG_S ago."""
-        await self._thawed()
+        await self._wait_while_frozen()
         now_s = monotonic()
         self._reports.append((now_s, float(len(self.batch) + len(self.waiting))))
         while len(self._reports) > 1 and self._reports[1][0] <= now_s - REPORT_LAG_S:
@@ -207,7 +207,7 @@
         await send_json(connection, {"load": self._reports[0][1]})
 
     async def _order(self, request: RawRequest, connection: Connection) -> None:
-        """Take an order, or refuse one whose epoch is behind if tokens are checked."""
+        """Accept an order; with fencing tokens checked, reject an epoch below the highest seen."""
         order = request.json()
         if self.checks_tokens and order["epoch"] < self.highest_epoch:
             await send_json(connection, "the order's epoch is behind", 409)
@@ -217,11 +217,11 @@
         await send_json(connection, {})
 
     async def _send_stream(self, connection: Connection, stream: Stream, sent: int) -> None:
-        """Write a stream's chunks from an offset on; one that did not come to its end is cut."""
+        """Send a stream from an offset on; if it ends incomplete, close without the end marker."""
         await connection.send(stream_head("", signature=""))
         while True:
             changed = stream.changed
-            await self._thawed()
+            await self._wait_while_frozen()
             if stream.offset > sent or stream.whole:
                 await self._send_events(connection, stream, sent)
                 sent = stream.offset
@@ -234,19 +234,19 @@
             connection.close()
 
     async def _send_events(self, connection: Connection, stream: Stream, sent: int) -> None:
-        """Write the event of some tokens, spoiled if the faults say so."""
+        """Send the event for the tokens from an offset on, corrupted as the garble fault says."""
         garble = self.faults.garble if sent else ""
         if garble == "cut":
             connection.close()
             raise ConnectionAbortedError
         offset = sent + (1 if garble == "gap" else 0)
-        found = {
+        event_fields = {
             "id": "foreign" if garble == "foreign" else stream.job_id,
             "offset": offset,
             "tokens": stream.offset - offset,
             "text": answer_text(stream.tag, offset, stream.offset),
             "last": stream.whole,
         }
-        event = b"data: " + orjson.dumps(found) + b"\n\n"
-        # A repeat spoils the first event as well.
+        event = b"data: " + orjson.dumps(event_fields) + b"\n\n"
+        # Unlike the other kinds, repeat corrupts the first event as well.
         await connection.send(chunk(event * (2 if self.faults.garble == "repeat" else 1)))
--- a/packages/springbridge-standins/springbridge_standins/class_router/json_standin.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/json_standin.py
@@ -1,6 +1,7 @@
-"""What the class router's stand-ins share: JSON answers, faults to switch, counters to read.
+"""Base of the class router's stand-ins: JSON answers, injectable faults and counters.
 
-Tests and the soak switch faults by posting their names and values to /faults of the process.
+Tests and the soak set faults by posting their names and values to /faults of the process, and read
+the counters from /counters.
 """
 
 import re
@@ -16,43 +17,43 @@
 
 
 async def send_json(connection: Connection, body: Any, status: int = 200, **headers: str) -> None:
-    """Answer with JSON."""
+    """Send an answer with a JSON body."""
     await connection.send(answer("", orjson.dumps(body), status, signature="", **headers))
 
 
 class JsonStandIn(HttpStandIn):
-    """A stand-in whose handlers are found by path.
+    """A stand-in that dispatches requests to handlers by path.
 
     Attributes:
       faults: Object whose attributes are the faults.
-      routes: Pattern of a path and what answers; groups of the pattern follow as arguments.
+      routes: Handlers by regular expression of the path; the groups are passed as arguments.
     """
 
     def __init__(self, address: str, faults: Any, routes: dict[str, Handler]) -> None:
-        """Keep the address IP number:port, the faults and the routes."""
+        """Serve at an address, IP number:port; /faults and /counters are added to the routes."""
         super().__init__(address)
         self.faults = faults
         self.routes = {"/faults": self._faults, "/counters": self._counters} | routes
 
     async def respond(self, request: RawRequest, connection: Connection) -> None:
-        """Let the first handler whose pattern fits answer."""
+        """Call the first handler whose pattern matches the path; answer 404 if none does."""
         for pattern, handler in self.routes.items():
-            if found := re.fullmatch(pattern, request.path):
-                await handler(request, connection, *found.groups())
+            if match := re.fullmatch(pattern, request.path):
+                await handler(request, connection, *match.groups())
                 return
         await send_json(connection, {}, 404)
 
-    def switch(self, wanted: dict[str, Any]) -> None:
-        """Switch the faults that are named."""
-        for name, value in wanted.items():
+    def set_faults(self, new_faults: dict[str, Any]) -> None:
+        """Set the given faults and leave the others as they are."""
+        for name, value in new_faults.items():
             setattr(self.faults, name, value)
 
     def counters(self) -> dict[str, Any]:
-        """Return what the stand-in has done."""
+        """Return the counters of the stand-in; none by default."""
         return {}
 
     async def _faults(self, request: RawRequest, connection: Connection) -> None:
-        self.switch(request.json())
+        self.set_faults(request.json())
         await send_json(connection, {})
 
     async def _counters(self, request: RawRequest, connection: Connection) -> None:
--- a/packages/springbridge-standins/springbridge_standins/class_router/serve.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/serve.py
@@ -13,7 +13,7 @@
 
 
 class Kind(StrEnum):
-    """What to stand in for; a blind engine checks no fencing tokens."""
+    """Kind of stand-in; a blind engine checks no fencing tokens."""
 
     ENGINE = "engine"
     BLIND_ENGINE = "blind-engine"
@@ -21,7 +21,7 @@
     PLATFORM = "platform"
 
     def make(self, address: str) -> JsonStandIn:
-        """Return a stand-in of this kind."""
+        """Return a stand-in of this kind for an address, IP number:port."""
         if self is Kind.SERVICE:
             return PlainService(address)
         if self is Kind.PLATFORM:
--- a/packages/springbridge-standins/springbridge_standins/class_router/service.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: it counts how often it ran each request."""
+"""Stand-in for a service without model; counts how often it executed each request."""
 
 import asyncio
 from collections import Counter
@@ -14,7 +14,7 @@
 
     Attributes:
       delay_s: Time that a call takes.
-      refuse: Whether calls are turned away before they run.
+      refuse: Whether calls are rejected before they run.
       cut: Whether calls run but their reply is lost.
     """
 
@@ -24,19 +24,19 @@
 
 
 class PlainService(JsonStandIn):
-    """One service."""
+    """A service that echoes the request and can delay, reject or lose calls."""
 
     def __init__(self, address: str) -> None:
-        """Start with nothing counted; address is IP number:port."""
+        """Start without executions; address is IP number:port."""
         super().__init__(address, ServiceFaults(), {"/.*": self._call})
         self.executions: Counter[str] = Counter()
 
     def counters(self) -> dict:
-        """Return how often each request ran."""
+        """Return how often each request was executed, by request id."""
         return {"started": self.executions}
 
     async def _call(self, request: RawRequest, connection: Connection) -> None:
-        """Run a call and answer with its id and body."""
+        """Execute a call and answer with its id, path and body."""
         if self.faults.refuse:
             await send_json(connection, {}, 503, Engine_Admitted="no")
             return
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/__init__.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak of the class router: nodes and stand-ins as processes, faults drawn at random."""
+"""Soak of the class router: nodes and stand-ins run as processes under random faults."""
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/faults.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a soak draws."""
+"""The faults that the soak injects into nodes, the platform and engines."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 
 
 async def kill(soak: Soak, seconds: float) -> None:
-    """Kill a node and replace it after a while."""
+    """Kill a node and start another one after some seconds."""
     node = soak.pick_node()
     if node is not None:
         await soak.world.kill(node)
@@ -19,7 +19,7 @@
 
 
 async def freeze(soak: Soak, seconds: float) -> None:
-    """Freeze a node and let it go on."""
+    """Freeze a node for some seconds."""
     node = soak.pick_node()
     if node is not None:
         soak.world.freeze(node)
@@ -28,7 +28,7 @@
 
 
 async def replace(soak: Soak, seconds: float) -> None:
-    """Stop a node as planned while its replacement is there already."""
+    """Start a replacement for a node, then stop the node gracefully."""
     node = soak.pick_node()
     if node is None:
         return
@@ -38,11 +38,11 @@
     node.process.terminate()
     status = await node.process.wait()
     if status != 0:
-        soak.findings.append(f"{node.name} ended with status {status} after a planned stop")
+        soak.findings.append(f"{node.name} exited with status {status} after a planned stop")
 
 
 async def cut_from_table(soak: Soak, seconds: float) -> None:
-    """Cut one node off from the platform."""
+    """Cut one node off from the platform for some seconds."""
     node = soak.pick_node()
     relay = soak.relays.get(node.name) if node is not None else None
     if relay is not None:
@@ -51,56 +51,56 @@
         relay.mend()
 
 
-def _platform(on: dict, off: dict, times: float = 1.0) -> Fault:
-    """Return a fault of the platform; one that ends by itself needs nothing to switch it off."""
+def _platform_fault(on: dict, off: dict, duration_factor: float = 1.0) -> Fault:
+    """Return a fault of the platform; off is empty for a fault that ends by itself."""
 
-    async def play(soak: Soak, seconds: float) -> None:
-        await soak.world.fault(soak.world.platform, **on)
-        await asyncio.sleep(times * seconds)
+    async def inject(soak: Soak, seconds: float) -> None:
+        await soak.world.set_faults(soak.world.platform, **on)
+        await asyncio.sleep(duration_factor * seconds)
         if off:
-            await soak.world.fault(soak.world.platform, **off)
+            await soak.world.set_faults(soak.world.platform, **off)
 
-    return play
+    return inject
 
 
-def _engine(on: dict, off: dict) -> Fault:
-    """Return a fault of one engine."""
-    return lambda soak, seconds: _fault_engine(soak, seconds, on, off)
+def _engine_fault(on: dict, off: dict) -> Fault:
+    """Return a fault of one engine that is set with on and cleared with off."""
+    return lambda soak, seconds: _inject_engine_fault(soak, seconds, on, off)
 
 
 async def garbling_engine(soak: Soak, seconds: float) -> None:
-    """Let an engine spoil its streams."""
+    """Let an engine corrupt its streams in one of four ways."""
     kind = soak.rng.choice(["gap", "foreign", "repeat", "cut"])
-    await _fault_engine(soak, seconds, {"garble": kind}, {"garble": ""})
+    await _inject_engine_fault(soak, seconds, {"garble": kind}, {"garble": ""})
 
 
 async def crashed_engine(soak: Soak, seconds: float) -> None:
-    """Crash an engine, which comes back empty."""
-    await _fault_engine(soak, seconds + 1.0, {"crash": seconds}, {})
+    """Crash an engine, which restarts without jobs after some seconds."""
+    await _inject_engine_fault(soak, seconds + 1.0, {"crash": seconds}, {})
 
 
-async def _fault_engine(soak: Soak, seconds: float, on: dict, off: dict) -> None:
-    """Switch a fault of an engine on and off; one that has crashed can't be switched."""
+async def _inject_engine_fault(soak: Soak, seconds: float, on: dict, off: dict) -> None:
+    """Set and clear a fault of an engine; a crashed engine is skipped, as it can't be reached."""
     cells = soak.rng.choice(list(soak.world.endpoints("model").values()))
     with contextlib.suppress(OSError):
-        await soak.world.fault(cells["address"], **on)
+        await soak.world.set_faults(cells["address"], **on)
         await asyncio.sleep(seconds)
-        await soak.world.fault(cells["address"], **off)
+        await soak.world.set_faults(cells["address"], **off)
 
 
-# The order is part of what a seed means.
+# Faults are drawn by position, so that another order changes the run of a seed.
 FAULTS: tuple[tuple[str, Fault], ...] = (
     ("kill", kill),
     ("freeze", freeze),
     ("replace", replace),
     ("cut_from_table", cut_from_table),
-    ("table_out", _platform({"out": True}, {"out": False}, times=2.0)),
-    ("table_slow", _platform({"slow_s": 0.5}, {"slow_s": 0.0})),
-    ("lost_replies", _platform({"lose_replies": 2}, {})),
-    ("late_write", _platform({"late_writes": 1}, {})),
-    ("slow_engine", _engine({"slow": 5.0}, {"slow": 1.0})),
-    ("frozen_engine", _engine({"frozen": True}, {"frozen": False})),
-    ("refusing_engine", _engine({"refuse": True}, {"refuse": False})),
+    ("table_out", _platform_fault({"out": True}, {"out": False}, duration_factor=2.0)),
+    ("table_slow", _platform_fault({"slow_s": 0.5}, {"slow_s": 0.0})),
+    ("lost_replies", _platform_fault({"lose_replies": 2}, {})),
+    ("late_write", _platform_fault({"late_writes": 1}, {})),
+    ("slow_engine", _engine_fault({"slow": 5.0}, {"slow": 1.0})),
+    ("frozen_engine", _engine_fault({"frozen": True}, {"frozen": False})),
+    ("refusing_engine", _engine_fault({"refuse": True}, {"refuse": False})),
     ("garbling_engine", garbling_engine),
     ("crashed_engine", crashed_engine),
 )
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/soak.py
@@ -1,9 +1,9 @@
-"""The long randomised run: ``make soak SEED=n MINUTES=m``.
+"""Randomised soak of the class router: ``make soak SEED=n MINUTES=m``.
 
-Nodes and stand-ins run as processes under mixed load while faults are drawn at random, up to two at
-a time. Invariants are asserted inside the nodes, which stop at a violation; after the run this
-program checks what no single node can see. It prints violations, faults and results, and exits 1
-on any violation.
+Nodes and stand-ins run as processes under mixed load while faults are injected at random, up to two
+at a time. The nodes check their invariants and abort on a violation; after the run this program
+checks what no single node can see. It prints violations, faults and results, and exits with 1 on
+any violation.
 """
 
 import asyncio
@@ -17,39 +17,39 @@
 from springbridge.classes.table.changes import Edit
 from springbridge.codes import Code
 
-from springbridge_standins.class_router.soak.checks import judge, judge_progress, watch
+from springbridge_standins.class_router.soak.checks import check_progress, check_results, watch
 from springbridge_standins.class_router.soak.faults import FAULTS
 from springbridge_standins.class_router.soak.load import Load
 from springbridge_standins.class_router.soak.state import NODES, Soak
 from springbridge_standins.class_router.world import NO_REPLY, running_world
 from springbridge_standins.soak_report import print_report
 
-# Not measured; chosen so that nodes settle after the last fault before the verdict.
+# Time for the nodes to recover from the last fault before the results are checked.
 SETTLE_S = 10.0
-# Derived: twice what the longest answer, 150 steps of 0.1 s, takes on an engine slowed to a fifth.
+# Twice the time of the longest answer, 150 steps of 0.1 s, on an engine slowed to a fifth.
 DRAIN_S = 150.0
-# Shortest and longest pause before a fault; two series run side by side.
-QUIET_S = (0.5, 3.0)
-# Shortest and longest fault: from less than the time to suspicion of a node to well beyond it.
-FAULT_S = (1.0, 6.0)
-# Shortest and longest pause of an operator between two edits.
+# Shortest and longest pause before a fault; two series of faults run concurrently.
+FAULT_PAUSE_S = (0.5, 3.0)
+# Shortest and longest fault: from below the time to suspect a node to well beyond it.
+FAULT_DURATION_S = (1.0, 6.0)
+# Shortest and longest pause of an operator before an edit.
 EDIT_PAUSE_S = (0.2, 2.0)
-# Rows that both operators edit; few, so that their edits collide.
-RACED_ROWS = 3
+# Number of rows that both operators edit; few, so that their edits conflict.
+CONTENDED_ROWS = 3
 
 
-async def draw_faults(soak: Soak, end_s: float) -> None:
-    """Draw one fault after another until the time is over; two of these run side by side."""
+async def inject_faults(soak: Soak, end_s: float) -> None:
+    """Inject one random fault after another until end_s; two of these run concurrently."""
     while monotonic() < end_s:
-        await asyncio.sleep(soak.rng.uniform(*QUIET_S))
+        await asyncio.sleep(soak.rng.uniform(*FAULT_PAUSE_S))
         name, fault = soak.rng.choice(FAULTS)
         soak.counts[f"fault {name}"] += 1
-        await fault(soak, soak.rng.uniform(*FAULT_S))
+        await fault(soak, soak.rng.uniform(*FAULT_DURATION_S))
 
 
-async def race_edits(soak: Soak, end_s: float) -> None:
-    """Let two operators edit the same few rows through any nodes."""
-    rows = [key for key in sorted(soak.world.rows) if key.startswith("share/")][:RACED_ROWS]
+async def send_racing_edits(soak: Soak, end_s: float) -> None:
+    """Edit a few rows through random nodes, as one of two operators with the same rows."""
+    rows = [key for key in sorted(soak.world.rows) if key.startswith("share/")][:CONTENDED_ROWS]
     known = {row: dict(soak.world.rows[row]) for row in rows}
     while monotonic() < end_s:
         await asyncio.sleep(soak.rng.uniform(*EDIT_PAUSE_S))
@@ -66,11 +66,11 @@
         elif -version == Code.EDIT_UNKNOWN or version == NO_REPLY:
             soak.unknown.add(change_id)
         if version < 0:
-            await _look_again(soak, known, rows)
+            await _reread_rows(soak, known, rows)
 
 
-async def _look_again(soak: Soak, known: dict, rows: list[str]) -> None:
-    """Read the rows again, as an operator does after a conflict."""
+async def _reread_rows(soak: Soak, known: dict, rows: list[str]) -> None:
+    """Reread the rows, as an operator does after a conflict."""
     for node in soak.world.nodes.values():
         if node.running and not node.frozen:
             found = await soak.world.table(node)
@@ -79,8 +79,8 @@
                 return
 
 
-async def soak_run(seed: int, seconds: float, progress: bool = True) -> Soak:
-    """Run a soak and judge it; a short one leaves the progress of the classes out."""
+async def run_soak(seed: int, seconds: float, progress: bool = True) -> Soak:
+    """Run a soak and check its results; a short one skips the progress of the classes."""
     async with running_world("findwell.csv", NODES) as world, AsyncExitStack() as stack:
         soak = Soak(world, random.Random(seed), {}, stack)
         load = Load(world, random.Random(seed + 1))
@@ -88,17 +88,17 @@
         end_s = monotonic() + seconds
         await asyncio.gather(
             load.run(seconds),
-            draw_faults(soak, end_s),
-            draw_faults(soak, end_s),
-            race_edits(soak, end_s),
-            race_edits(soak, end_s),
+            inject_faults(soak, end_s),
+            inject_faults(soak, end_s),
+            send_racing_edits(soak, end_s),
+            send_racing_edits(soak, end_s),
         )
         await asyncio.sleep(SETTLE_S)
         await load.finish(DRAIN_S)
         watcher.cancel()
-        await judge(soak, load)
+        await check_results(soak, load)
         if progress:
-            judge_progress(soak, load)
+            check_progress(soak, load)
         soak.counts.update(f"result {record.reply.code!s}" for record in load.records)
         soak.counts["edits"] = soak.edits
         soak.counts["edits accepted"] = len(soak.accepted)
@@ -111,6 +111,6 @@
     minutes: Annotated[float, typer.Option(help="Length of the run in minutes.")] = 2.0,
 ) -> None:
     """Run the soak and exit 1 on any violation."""
-    soak = asyncio.run(soak_run(seed, 60 * minutes))
+    soak = asyncio.run(run_soak(seed, 60 * minutes))
     print_report(f"seed {seed}", soak.findings, soak.counts)
     sys.exit(1 if soak.findings else 0)
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/soak_test.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/soak_test.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed; its verdict counts what must never happen, not how fast."""
+"""A short soak with a fixed seed; it checks for violations, not for speed."""
 
 import asyncio
 
@@ -6,12 +6,12 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from springbridge_standins.class_router.soak.soak import soak_run
+from springbridge_standins.class_router.soak.soak import run_soak
 
 SECONDS = 15.0
 
 
 @pytest.mark.parametrize("seed", [7])
 def test_short_soak_finds_no_violation(seed):
-    soak = asyncio.run(soak_run(seed, SECONDS, progress=False))
+    soak = asyncio.run(run_soak(seed, SECONDS, progress=False))
     assert_that(soak.findings, Equals([]))
--- a/packages/springbridge-standins/springbridge_standins/class_router/soak/state.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/soak/state.py
@@ -1,4 +1,4 @@
-"""A running soak: its world, what was drawn, and what it found."""
+"""State of a running soak: its processes, the injected faults and edits, and the violations."""
 
 import random
 from collections import Counter
@@ -9,18 +9,24 @@
 from springbridge_standins.free_addresses import free_address
 from springbridge_standins.proxy import LoopbackProxy, running_relay
 
-# Nodes of a soak; with one of them lost the other three are still a majority.
+# Nodes of a soak; if one is lost, the other three are still a majority.
 NODES = 4
 
 
 @dataclass
 class Soak:
-    """A running soak.
+    """State of a running soak.
 
     Attributes:
+      relays: Relay to the platform of each node that was added, by node name.
+      started: Number of nodes started so far.
+      edits: Number of edits sent.
+      accepted: Versions of the accepted edits.
+      unknown: Change ids of edits with unknown outcome.
       versions: Highest version seen of each incarnation.
-      findings: Violations, in words.
-      counts: Faults, results and edits.
+      counts: Counts of faults, results and edits.
+      findings: A description of each violation.
+      busy: Names of nodes that are being replaced; no other fault picks them.
     """
 
     world: World
@@ -37,7 +43,7 @@
     busy: set[str] = field(default_factory=set)
 
     def pick_node(self) -> NodeProcess | None:
-        """Return a node that no other fault has in hand, so long as three others run."""
+        """Return a random node that no other fault affects; None if fewer than three are left."""
         free = [
             node
             for node in self.world.nodes.values()
@@ -46,7 +52,7 @@
         return self.rng.choice(free) if len(free) >= NODES - 1 else None
 
     async def add_node(self) -> NodeProcess:
-        """Start a node behind a relay of its own to the platform."""
+        """Start a node with its own relay to the platform."""
         self.started += 1
         name = f"node-{self.started}"
         address = free_address()
--- a/packages/springbridge-standins/springbridge_standins/class_router/table_service.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/table_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: the transactional table service and the lagging list of instances."""
+"""Stand-in for the platform: a transactional table service and a delayed list of instances."""
 
 import asyncio
 from collections import deque
@@ -8,13 +8,13 @@
 from springbridge_standins.class_router.json_standin import JsonStandIn, send_json
 from springbridge_standins.http_wire import Connection, RawRequest
 
-# Rate limit of the table. Not measured; chosen.
+# Rate limit of the table.
 WRITES_PER_S = 100.0
-# Writes at once, half a second's worth. Not measured; chosen.
+# Size of the token bucket: half a second of WRITES_PER_S.
 WRITE_BURST = 50.0
-# Longer than any timeout of a node for the table.
-LONG_S = 30.0
-# Longer than the 2 s after which a writer gives up.
+# Time before a lost reply resets the connection; longer than any timeout of a node for the table.
+LOST_REPLY_S = 30.0
+# Delay of a late write; longer than the 2 s after which a writer gives up.
 LATE_WRITE_S = 3.0
 
 
@@ -36,7 +36,7 @@
 
 
 class Platform(JsonStandIn):
-    """Rows with versions, and the list of instances that is shown lag_s late."""
+    """Rows with versions, and a list of instances whose changes show after lag_s."""
 
     def __init__(self, address: str, lag_s: float = 1.0) -> None:
         """Start without rows; address is IP number:port."""
@@ -55,7 +55,7 @@
         self._lists: deque[tuple[float, list[dict]]] = deque()
 
     def transact(self, conditions: dict[str, int], writes: dict[str, str | None]) -> bool:
-        """Apply all writes if all conditions on row versions hold."""
+        """Apply all writes if all conditions on row versions hold; return whether it did."""
         for key, version in conditions.items():
             if self.rows.get(key, (0, ""))[0] != version:
                 return False
@@ -67,11 +67,11 @@
                 self.rows[key] = (self._versions, value)
         return True
 
-    def may_write(self) -> bool:
-        """Take one write from the rate limit."""
+    def try_write(self) -> bool:
+        """Take a token for one write from the rate limit; return whether there was one."""
         now_s = monotonic()
-        grown = self._tokens + (now_s - self._refilled_s) * WRITES_PER_S
-        self._tokens = min(WRITE_BURST, grown)
+        refilled = self._tokens + (now_s - self._refilled_s) * WRITES_PER_S
+        self._tokens = min(WRITE_BURST, refilled)
         self._refilled_s = now_s
         if self._tokens < 1:
             return False
@@ -79,7 +79,7 @@
         return True
 
     def set_instances(self, entries: list[dict]) -> None:
-        """Change the list of instances; it shows after lag_s."""
+        """Change the list of instances; the change shows after lag_s."""
         self._lists.append((monotonic() + self.lag_s, entries))
 
     def instances(self) -> list[dict]:
@@ -90,54 +90,54 @@
             return self._lists[0][1]
         return []
 
-    async def _suffer(self, connection: Connection) -> None:
-        """Do what the faults say before an answer."""
+    async def _apply_faults(self, connection: Connection) -> None:
+        """Delay or drop the answer as the faults say."""
         await asyncio.sleep(self.faults.slow_s)
         if self.faults.out:
-            await self._lose(connection)
+            await self._drop_reply(connection)
 
-    async def _lose(self, connection: Connection) -> None:
-        """Never answer, as far as the caller can tell."""
-        await asyncio.sleep(LONG_S)
+    async def _drop_reply(self, connection: Connection) -> None:
+        """Hold the connection past every timeout of the caller, then reset it."""
+        await asyncio.sleep(LOST_REPLY_S)
         connection.reset()
         raise ConnectionResetError
 
     async def _row(self, request: RawRequest, connection: Connection) -> None:
-        """Answer with a row; version 0 stands for none."""
-        await self._suffer(connection)
+        """Answer with a row; version 0 means that there is none."""
+        await self._apply_faults(connection)
         version, value = self.rows.get(request.json()["key"], (0, ""))
         await send_json(connection, {"version": version, "value": value})
 
     async def _scan(self, request: RawRequest, connection: Connection) -> None:
-        """Answer with the rows of some prefixes, ordered by key, in one transaction."""
-        await self._suffer(connection)
-        asked = request.json()
-        start, prefixes = asked.get("start", ""), tuple(asked["prefixes"])
+        """Answer with the rows of some key prefixes, ordered by key, in one transaction."""
+        await self._apply_faults(connection)
+        body = request.json()
+        start, prefixes = body.get("start", ""), tuple(body["prefixes"])
         keys = sorted(key for key in self.rows if key >= start and key.startswith(prefixes))
-        found = {key: self.rows[key] for key in keys[: asked.get("limit")]}
+        found = {key: self.rows[key] for key in keys[: body.get("limit")]}
         rows = {key: {"version": row[0], "value": row[1]} for key, row in found.items()}
         await send_json(connection, {"rows": rows})
 
     async def _transact(self, request: RawRequest, connection: Connection) -> None:
-        """Apply a transaction, unless the faults or the rate limit are against it."""
-        await self._suffer(connection)
-        if not self.may_write():
+        """Apply a transaction, subject to the faults and the rate limit."""
+        await self._apply_faults(connection)
+        if not self.try_write():
             await send_json(connection, {}, 429)
             return
-        asked = request.json()
+        body = request.json()
         late, lost = self.faults.late_writes > 0, self.faults.lose_replies > 0
         if late:
             self.faults.late_writes -= 1
             await asyncio.sleep(LATE_WRITE_S)
-        applied = self.transact(asked["conditions"], asked["writes"])
+        applied = self.transact(body["conditions"], body["writes"])
         if lost and not late:
             self.faults.lose_replies -= 1
         if late or lost:
-            await self._lose(connection)
+            await self._drop_reply(connection)
         await send_json(connection, {"applied": applied})
 
     async def _instances(self, request: RawRequest, connection: Connection) -> None:
-        """Change the list of instances, which the harness does, or show it."""
+        """Answer with the list of instances; a POST by the test harness changes it first."""
         if request.method == "POST":
             self.set_instances(request.json()["instances"])
         await send_json(connection, {"instances": self.instances()})
--- a/packages/springbridge-standins/springbridge_standins/class_router/world.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/world.py
@@ -1,4 +1,4 @@
-"""Starts nodes and stand-ins as processes on loopback and stops them, for tests, demo and soak."""
+"""Runs nodes and stand-ins as processes on loopback, for tests, the demo and the soak."""
 
 import asyncio
 import os
@@ -16,23 +16,23 @@
 from springbridge.classes.table.rows import Cells
 from tornado.httpclient import AsyncHTTPClient
 
-from springbridge_standins.class_router.caller import Caller, control, until
+from springbridge_standins.class_router.caller import Caller, call_standin, wait_until
 from springbridge_standins.free_addresses import free_address, with_free_addresses
 from springbridge_standins.http_wire import RawAnswer, fetch
 
 PEER_TOKEN = "peer-token-for-tests"
 OPERATOR_TOKEN = "operator-token-for-tests"
-# How long nodes may take to agree on a version before a test fails.
-READY_S = 20.0
-# Setting up a world is no verdict, so it may take as long as a crowded machine needs.
-SETUP_S = 120.0
-# Longer than a node's own time for a planned stop.
-STOP_S = 30.0
-# How long an operator waits for the outcome of an edit.
-EDIT_S = 20.0
-# A node that is frozen or gone is passed over after this.
-READ_S = 2.0
-# What an edit returns in place of a version when no answer came.
+# Time in which nodes have to agree on a version; a test fails after it.
+READY_TIMEOUT_S = 20.0
+# Set-up is not under test, so it may take as long as a busy machine needs.
+SETUP_TIMEOUT_S = 120.0
+# Longer than a node's own limit for a planned stop.
+STOP_TIMEOUT_S = 30.0
+# Time that an operator waits for the outcome of an edit.
+EDIT_TIMEOUT_S = 20.0
+# Time after which a read from a node that is frozen or gone fails.
+READ_TIMEOUT_S = 2.0
+# Returned by an edit in place of a version if no answer arrived.
 NO_REPLY = -1
 FIRST_VERSION = 1
 EXAMPLES = Path(__file__).parents[4] / "examples"
@@ -40,7 +40,7 @@
 
 @dataclass
 class NodeProcess:
-    """A node process and how it was started."""
+    """A node process, its addresses and its failure domain."""
 
     name: str
     failure_domain: str
@@ -57,11 +57,12 @@
 
 @dataclass
 class World:
-    """Processes of one run.
+    """The node and stand-in processes of one run, and the operations on them.
 
     Attributes:
       rows: The table's rows, with the addresses of this run's stand-ins.
-      logs: Folder with the standard output of each process.
+      logs: Folder with the standard output and error of each process.
+      platform: Address of the platform stand-in.
     """
 
     rows: dict[str, Cells]
@@ -78,7 +79,7 @@
         return sorted({cells["place"] for cells in self.endpoints().values()})
 
     def endpoints(self, kind: str = "") -> dict[str, Cells]:
-        """Return the engine rows by name, of one kind or all."""
+        """Return the endpoint rows by name, of one kind, or of all kinds if kind is empty."""
         return {
             key.removeprefix("engine/"): cells
             for key, cells in self.rows.items()
@@ -86,7 +87,7 @@
         }
 
     async def start_node(self, name: str, failure_domain: str, table: str = "") -> NodeProcess:
-        """Start a node; table is the address of a relay to the platform, if there is one."""
+        """Start a node; table is the address of a relay to the platform, empty for none."""
         caller_address, peer_address = free_address(), free_address()
         flags = {
             "instance": name,
@@ -107,7 +108,7 @@
         return node
 
     async def start_standin(self, kind: str, addresses: list[str]) -> None:
-        """Start one process of stand-ins of a kind."""
+        """Start one process that runs a stand-in of a kind at each address."""
         command = ["-m", "springbridge_standins.class_router.serve", kind, *addresses]
         self.standins.append(await self._spawn(f"{kind}-{addresses[0]}", command))
 
@@ -118,16 +119,16 @@
             )
 
     async def publish_list(self, leaving: frozenset[str] = frozenset()) -> None:
-        """Write the nodes that run into the platform's list of instances."""
+        """Write the running nodes into the platform's list of instances, some marked as leaving."""
         entries = [
             {"peer_address": node.peer_address, "leaving": node.name in leaving}
             for node in self.nodes.values()
             if node.running
         ]
-        await control(self.platform, "/instances", {"instances": entries})
+        await call_standin(self.platform, "/instances", {"instances": entries})
 
     async def import_rows(self) -> int:
-        """Put the run's rows in force through the first node and return the version."""
+        """Import the run's rows through the first node; return what edit returns."""
         node = next(iter(self.nodes.values()))
         edits = [Edit(key, None, cells) for key, cells in self.rows.items()]
         return await self.edit(node, "import", edits)
@@ -136,7 +137,7 @@
         """Send an edit to a node.
 
         Returns:
-          The version, minus the first result code, or NO_REPLY.
+          The new version, the first result code negated if it was refused, or NO_REPLY.
         """
         body = {
             "change_id": change_id,
@@ -146,16 +147,18 @@
             "edits": edits,
         }
         try:
-            got = await self._operate(node, "POST", "/operator/table", orjson.dumps(body), EDIT_S)
+            response = await self._send_operator_request(
+                node, "POST", "/operator/table", orjson.dumps(body), EDIT_TIMEOUT_S
+            )
         except OSError:
             return NO_REPLY
-        if not got.body or not got.whole:
+        if not response.body or not response.whole:
             return NO_REPLY
-        answer = orjson.loads(got.body)
-        return answer["version"] if got.status == 200 else -answer["errors"][0]["code"]
+        answer = orjson.loads(response.body)
+        return answer["version"] if response.status == 200 else -answer["errors"][0]["code"]
 
     async def status(self, node: NodeProcess) -> dict:
-        """Return a node's state; empty if it does not answer."""
+        """Return a node's status; empty if it does not answer."""
         return await self._read(node, "/operator/status")
 
     async def table(self, node: NodeProcess) -> dict:
@@ -163,27 +166,30 @@
         return await self._read(node, "/operator/table")
 
     async def audit(self, node: NodeProcess) -> list[dict]:
-        """Return the audit trail."""
+        """Return the changes of the audit trail; none if the node does not answer."""
         return (await self._read(node, "/operator/audit")).get("changes", [])
 
     async def _read(self, node: NodeProcess, path: str) -> dict:
         try:
-            got = await self._operate(node, "GET", path, b"", READ_S)
+            response = await self._send_operator_request(node, "GET", path, b"", READ_TIMEOUT_S)
         except OSError:
             return {}
-        return orjson.loads(got.body) if got.status == 200 and got.whole else {}
+        return orjson.loads(response.body) if response.status == 200 and response.whole else {}
 
-    async def _operate(
+    async def _send_operator_request(
         self, node: NodeProcess, method: str, path: str, body: bytes, timeout_s: float
     ) -> RawAnswer:
-        """Ask a node as an operator; raises OSError if it does not answer."""
+        """Send an operator's request to a node; raises OSError if it does not answer."""
         token = {"Springbridge_Operator_Token": OPERATOR_TOKEN}
         return await fetch(node.caller_address, method, path, body, timeout_s, **token)
 
-    async def ready(
-        self, nodes: list[NodeProcess], version: int = 0, within_s: float = READY_S
+    async def wait_ready(
+        self, nodes: list[NodeProcess], version: int = 0, within_s: float = READY_TIMEOUT_S
     ) -> bool:
-        """Wait until nodes serve under a version and see each other."""
+        """Wait until nodes serve under a version and see each other; return whether they do.
+
+        With version 0 they only have to see each other.
+        """
 
         async def all_ready() -> bool:
             states = [await self.status(node) for node in nodes]
@@ -195,39 +201,39 @@
                 for state in states
             )
 
-        return await until(all_ready, within_s)
+        return await wait_until(all_ready, within_s)
 
     async def stop_node(self, node: NodeProcess) -> int:
-        """Stop a node as planned and return its exit status."""
+        """Stop a node gracefully, listed as leaving, and return its exit status."""
         node.process.send_signal(signal.SIGTERM)
         await self.publish_list(frozenset({node.name}))
-        return await asyncio.wait_for(node.process.wait(), STOP_S)
+        return await asyncio.wait_for(node.process.wait(), STOP_TIMEOUT_S)
 
     def freeze(self, node: NodeProcess) -> None:
-        """Freeze a node."""
+        """Stop a node's process with SIGSTOP."""
         node.frozen = True
         node.process.send_signal(signal.SIGSTOP)
 
     def thaw(self, node: NodeProcess) -> None:
-        """Let a frozen node go on."""
+        """Continue a frozen node with SIGCONT."""
         node.frozen = False
         node.process.send_signal(signal.SIGCONT)
 
     async def kill(self, node: NodeProcess) -> None:
-        """Kill a node."""
+        """Kill a node with SIGKILL and wait for its end."""
         node.process.kill()
         await node.process.wait()
 
-    async def fault(self, address: str, **faults: object) -> None:
-        """Switch faults of a stand-in."""
-        await control(address, "/faults", faults)
+    async def set_faults(self, address: str, **faults: object) -> None:
+        """Set faults of the stand-in at an address."""
+        await call_standin(address, "/faults", faults)
 
     async def counters(self, address: str) -> dict:
-        """Return a stand-in's counters."""
-        return await control(address, "/counters")
+        """Return the counters of the stand-in at an address."""
+        return await call_standin(address, "/counters")
 
     async def close(self) -> None:
-        """End all processes that this world started."""
+        """Kill all processes that this world started."""
         for node in self.nodes.values():
             if node.running:
                 node.process.kill()
@@ -239,7 +245,7 @@
 
 
 def load_example(name: str) -> dict[str, Cells]:
-    """Return the rows of an example table."""
+    """Return the rows of an example table; raises ValueError if it does not load."""
     match sheet.load((EXAMPLES / name).read_text()):
         case Success(rows):
             return rows
@@ -248,20 +254,23 @@
 
 @asynccontextmanager
 async def running_world(example: str, nodes: int):
-    """Start a world with an example table in force, and end it."""
+    """Start a world with an example table in force, and end it on exit.
+
+    SPRINGBRIDGE_WORLD_LOGS names a folder for the logs; without it they are deleted on exit.
+    """
     rows = with_free_addresses(load_example(example))
     with tempfile.TemporaryDirectory() as folder:
         logs = Path(os.environ.get("SPRINGBRIDGE_WORLD_LOGS", folder))
         world = World(rows, logs, free_address())
         try:
-            await _start(world, nodes)
-            await _put_in_force(world)
+            await _start_processes(world, nodes)
+            await _install_table(world)
             yield world
         finally:
             await world.close()
 
 
-async def _start(world: World, nodes: int) -> None:
+async def _start_processes(world: World, nodes: int) -> None:
     """Start the stand-ins and nodes."""
     await world.start_standin("platform", [world.platform])
     checking, blind = [], []
@@ -279,21 +288,23 @@
             return False
         return True
 
-    await until(platform_up, SETUP_S)
+    await wait_until(platform_up, SETUP_TIMEOUT_S)
     for number in range(nodes):
         failure_domain = world.failure_domains[number % len(world.failure_domains)]
         await world.start_node(f"node-{number + 1}", failure_domain)
 
 
-async def _put_in_force(world: World) -> None:
+async def _install_table(world: World) -> None:
     """Import the table and wait until all nodes serve under it."""
     nodes = list(world.nodes.values())
-    if not await world.ready(nodes, within_s=SETUP_S):
-        raise RuntimeError("the nodes did not find each other")
+    if not await world.wait_ready(nodes, within_s=SETUP_TIMEOUT_S):
+        raise RuntimeError("nodes did not find each other before the set-up timeout")
 
     async def accepted() -> bool:
         return await world.import_rows() == FIRST_VERSION
 
-    # An operator repeats an import under its change id, which is accepted once.
-    if not await until(accepted, SETUP_S) or not await world.ready(nodes, FIRST_VERSION, SETUP_S):
-        raise RuntimeError("the table did not come into force")
+    # The import is retried under the same change id, so that it is accepted only once.
+    if not await wait_until(accepted, SETUP_TIMEOUT_S) or not await world.wait_ready(
+        nodes, FIRST_VERSION, SETUP_TIMEOUT_S
+    ):
+        raise RuntimeError("table was not in force on all nodes before the set-up timeout")
