--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/__init__.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak of the gateway: node processes harmed from outside, promises checked all along."""
+"""Soak of the gateway: node processes under injected faults, with checks on every answer."""
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/__main__.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs soak from the command line."""
+"""Runs the gateway's soak from the command line."""
 
 import typer
 
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/callers.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/callers.py
@@ -1,7 +1,7 @@
-"""Callers of the soak: each keeps its connection, and uses it until the other side ends it.
+"""Callers of the soak: each sends requests over a kept-alive connection and checks the answers.
 
-A caller asks the directory of some node for an address only when it needs a new connection, so
-nodes in their planned stop still get requests on old ones.
+A caller resolves an address from the directory of some node only when it needs a new connection, so
+nodes in a planned stop still get requests on existing connections.
 """
 
 import asyncio
@@ -13,57 +13,57 @@
 from springbridge_standins.gateway.caller import CallerConnection, ask
 from springbridge_standins.gateway.soak.checks import check_answer, check_no_answer
 from springbridge_standins.gateway.soak.engine import digest
-from springbridge_standins.gateway.soak.state import Asked, Soak
+from springbridge_standins.gateway.soak.state import SentRequest, Soak
 
 PATHS = ("/safe/x", "/once/x", "/stream/x", "/single/x")
-# Prompts that requests share the beginning of; few, so that they meet at engines.
-PROMPTS = 6
-# Tokens of the shared and of the own part of each prompt.
-SHARED_TOKENS, OWN_TOKENS = 800, 250
-# Tokens that a caller expects in an answer.
+# Number of shared prompt prefixes; few, so that several requests with one reach the same engine.
+SHARED_PREFIXES = 6
+# Tokens of the shared prefix and of the rest of each prompt.
+SHARED_TOKENS, SUFFIX_TOKENS = 800, 250
+# Expected tokens of an answer, as sent in the header.
 ANSWER_TOKENS = 80
-# Longest body, in bytes.
-LONGEST_BODY = 400
-# Share of requests before which a caller takes a new connection though the old one is good.
-RENEWED_SHARE = 0.1
-# Longest pause of a caller between requests.
-LONGEST_REST_S = 0.05
-# Pause where no connection came up.
-PAUSE_AFTER_NONE_S = 0.1
-# How long a caller waits for a directory before it asks another.
-DIRECTORY_S = 0.5
+# Bound on the length of a body.
+MAX_BODY_BYTES = 400
+# Share of requests for which a caller opens a new connection though the old one is usable.
+RECONNECT_SHARE = 0.1
+# Longest pause of a caller between two requests.
+MAX_PAUSE_S = 0.05
+# Pause after a failed attempt to connect.
+RECONNECT_PAUSE_S = 0.1
+# Time after which a caller tries the directory of another node.
+DIRECTORY_TIMEOUT_S = 0.5
 
 
 async def call_forever(soak: Soak, number: int) -> None:
-    """Send requests one after another as one caller does."""
+    """Send requests one after another, as one caller, until cancelled."""
     connection: CallerConnection | None = None
     count = 0
     try:
         while True:
             count += 1
-            if connection is None or soak.rng.random() < RENEWED_SHARE:
-                connection = await _renewed(soak, connection)
+            if connection is None or soak.rng.random() < RECONNECT_SHARE:
+                connection = await _reconnect(soak, connection)
             if connection is not None:
                 await _call(soak, connection, f"c{number}-{count}", count)
             if connection is not None and not connection.may_be_kept:
                 connection.close()
                 connection = None
-            rest_s = soak.rng.random() * LONGEST_REST_S
-            await asyncio.sleep(rest_s if connection else PAUSE_AFTER_NONE_S)
+            pause_s = soak.rng.random() * MAX_PAUSE_S
+            await asyncio.sleep(pause_s if connection else RECONNECT_PAUSE_S)
     finally:
         if connection is not None:
             connection.close()
 
 
 async def _call(soak: Soak, connection: CallerConnection, request_id: str, count: int) -> None:
-    """Send one request and check what comes of it."""
+    """Send one request and check its answer."""
     path = soak.rng.choice(PATHS)
-    body = bytes(soak.rng.randrange(256) for _ in range(soak.rng.randrange(1, LONGEST_BODY)))
-    soak.asked[request_id] = Asked(path, digest(body), connection.address, time.monotonic())
+    body = bytes(soak.rng.randrange(256) for _ in range(soak.rng.randrange(1, MAX_BODY_BYTES)))
+    soak.sent[request_id] = SentRequest(path, digest(body), connection.address, time.monotonic())
     node = soak.node_at(connection.address)
     kills_before = node.kills
     try:
-        got = await connection.ask(
+        response = await connection.ask(
             path,
             method="POST",
             body=body,
@@ -75,15 +75,15 @@
         soak.counts[f"{path} no answer"] += 1
         check_no_answer(soak, path, request_id, node.kills > kills_before, exc)
         return
-    soak.counts[f"{path} {got.status}"] += 1
-    if "server-leaving" in got.headers:
-        left = (connection.address, got.headers["instance-id"])
-        soak.passed_on_s.setdefault(left, time.monotonic())
-    check_answer(soak, path, request_id, body, got)
+    soak.counts[f"{path} {response.status}"] += 1
+    if "server-leaving" in response.headers:
+        leaving_run = (connection.address, response.headers["instance-id"])
+        soak.leaving_relayed_s.setdefault(leaving_run, time.monotonic())
+    check_answer(soak, path, request_id, body, response)
 
 
-async def _renewed(soak: Soak, old: CallerConnection | None) -> CallerConnection | None:
-    """Return a new connection in place of an old one, or None if none came up."""
+async def _reconnect(soak: Soak, old: CallerConnection | None) -> CallerConnection | None:
+    """Close a connection and return a new one; None if connecting failed."""
     if old is not None:
         old.close()
     with contextlib.suppress(OSError):
@@ -92,22 +92,22 @@
 
 
 def _prompt_headers(soak: Soak, path: str, count: int) -> dict[str, str]:
-    """Return the headers that describe a prompt, none for plain services."""
+    """Return the headers that describe a prompt; none for plain services."""
     if path not in ("/stream/x", "/single/x"):
         return {}
-    shared = soak.rng.randrange(PROMPTS)
+    shared = soak.rng.randrange(SHARED_PREFIXES)
     return {
-        "Prefix_Hash": f"{shared:x}:{SHARED_TOKENS},{count:x}f:{OWN_TOKENS}",
-        "Token_Usage": f"{SHARED_TOKENS + OWN_TOKENS},{ANSWER_TOKENS}",
+        "Prefix_Hash": f"{shared:x}:{SHARED_TOKENS},{count:x}f:{SUFFIX_TOKENS}",
+        "Token_Usage": f"{SHARED_TOKENS + SUFFIX_TOKENS},{ANSWER_TOKENS}",
     }
 
 
 async def _address(soak: Soak) -> str:
-    """Return an address from the directory of some node, or any node's if none answers."""
+    """Return an address from a node's directory; that of a random node if none answers."""
     for node in soak.rng.sample(soak.nodes, len(soak.nodes)):
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
-            async with asyncio.timeout(DIRECTORY_S):
-                got = await ask(node.directory, "/v1/resolve?name=desk.example&zone=perth-a")
-            if got.status == 200:
-                return soak.rng.choice(orjson.loads(got.body)["addresses"])
-    return soak.rng.choice(soak.nodes).callers
+            async with asyncio.timeout(DIRECTORY_TIMEOUT_S):
+                response = await ask(node.directory, "/v1/resolve?name=desk.example&zone=perth-a")
+            if response.status == 200:
+                return soak.rng.choice(orjson.loads(response.body)["addresses"])
+    return soak.rng.choice(soak.nodes).caller_address
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/engine.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/engine.py
@@ -1,4 +1,4 @@
-"""Engines of the soak: answers that can be checked byte by byte, and faults by chance."""
+"""Engines of the soak: answers that can be checked byte by byte, and random faults."""
 
 import asyncio
 import hashlib
@@ -17,25 +17,26 @@
     stream_head,
 )
 
-# Share of requests that meet a fault, a sixth of it for each kind. Not measured; chosen so that
-# most requests succeed and each kind still comes often.
+# Share of requests that meet a fault, a sixth of it for each kind: most requests succeed, and each
+# kind still occurs often.
 FAULT_SHARE = 0.12
-# Longest stream; with EVENT_PAUSE_S up to a quarter of a second, so that harms meet it midway.
-MOST_EVENTS = 12
+# Longest stream; with EVENT_PAUSE_S it takes up to a quarter of a second, so that faults hit it
+# midway.
+MAX_EVENTS = 12
 # Pause after each event of a stream.
 EVENT_PAUSE_S = 0.02
-# Longest time that a plain answer takes.
-LONGEST_PLAIN_S = 0.03
+# Longest time before a plain answer.
+MAX_PLAIN_S = 0.03
 
 
 @dataclass
 class Record:
-    """What all engines saw.
+    """The requests that all engines began to run.
 
     Attributes:
-      runs: How often each request was begun.
-      bodies: Digest of the body of each request that was begun.
-      customers: The customer that each request was run for.
+      runs: How often each request was begun, by request id.
+      bodies: Digest of the body of each request.
+      customers: Customer of each request.
     """
 
     runs: Counter = field(default_factory=Counter)
@@ -44,49 +45,49 @@
 
 
 def digest(data: bytes) -> str:
-    """Return a short digest of bytes."""
+    """Return the first 12 hex digits of the SHA-256 of some bytes."""
     return hashlib.sha256(data).hexdigest()[:12]
 
 
-def events_of(request_id: str) -> int:
-    """Return how many events the stream of a request has, the same at every engine."""
-    return 1 + int(digest(request_id.encode()), 16) % MOST_EVENTS
+def event_count(request_id: str) -> int:
+    """Return the number of events in the stream of a request, the same at every engine."""
+    return 1 + int(digest(request_id.encode()), 16) % MAX_EVENTS
 
 
-def event_of(request_id: str, number: int) -> bytes:
-    """Return an event of a request's stream."""
+def stream_event(request_id: str, number: int) -> bytes:
+    """Return the event with a number, from 1 on, of a request's stream."""
     return f"id: {number}\ndata: {request_id}-{number}\n\n".encode()
 
 
-def stream_of(request_id: str) -> bytes:
-    """Return the whole stream of a request."""
-    last = events_of(request_id)
-    return b"".join(event_of(request_id, number) for number in range(1, last + 1))
+def full_stream(request_id: str) -> bytes:
+    """Return the complete stream of a request."""
+    last = event_count(request_id)
+    return b"".join(stream_event(request_id, number) for number in range(1, last + 1))
 
 
-def plain_of(request_id: str, body: bytes) -> bytes:
-    """Return the whole plain answer to a request."""
+def plain_answer(request_id: str, body: bytes) -> bytes:
+    """Return the complete plain answer to a request."""
     return f"{request_id}:{digest(body)}".encode()
 
 
-class Says(Protocol):
-    """What an engine says of itself, and who is told what arrives."""
+class StatementSource(Protocol):
+    """Source of what engines state about themselves; it is notified of each request."""
 
-    def arrived(self, name: str, request_id: str) -> None:
-        """Note that a request arrives at an engine."""
+    def on_arrival(self, name: str, request_id: str) -> None:
+        """Record that a request arrives at an engine."""
 
     def headers(self, name: str) -> dict[str, str]:
-        """Return the headers for an answer of an engine."""
+        """Return the headers that an engine adds to an answer."""
 
     def rest_s(self, name: str, request_id: str) -> float | None:
-        """Return the rest that an engine asks for as it turns a request away, None if it serves."""
+        """Return the rest to ask for in a refusal, in seconds; None to serve the request."""
 
 
 class SoakScript:
-    """Answers requests; by chance it fails as real engines do.
+    """Answers requests as an engine, with random faults of the kinds that real engines have.
 
     Attributes:
-      faulty: Whether faults happen.
+      faulty: Whether faults are injected.
     """
 
     def __init__(
@@ -94,17 +95,17 @@
         endpoint_id: str,
         record: Record,
         rng: random.Random,
-        end: Callable[[str], Awaitable[None]],
-        says: Says,
+        crash: Callable[[str], Awaitable[None]],
+        statements: StatementSource,
     ) -> None:
-        """Keep the name, the common record and the source of chance.
+        """Set up the engine with an id and the record that all engines share.
 
         Args:
-          end: Ends the engine of a name, as under a request that does so.
-          says: What engines say of themselves.
+          crash: Crashes the engine with a name; awaited for a poison request.
+          statements: Source of the engines' statements about themselves.
         """
-        self._end = end
-        self._says = says
+        self._crash = crash
+        self._statements = statements
         self._endpoint_id = endpoint_id
         self._record = record
         self._rng = rng
@@ -116,11 +117,11 @@
         if request.headers.get("expected-instance") != self._endpoint_id:
             await connection.send(answer(request.request_id, b"", 421, signature=""))
             return
-        self._says.arrived(self._endpoint_id, request.request_id)
+        self._statements.on_arrival(self._endpoint_id, request.request_id)
         if request.body.startswith(MARK):
-            await self._end(self._endpoint_id)
+            await self._crash(self._endpoint_id)
             return
-        rest_s = self._says.rest_s(self._endpoint_id, request.request_id)
+        rest_s = self._statements.rest_s(self._endpoint_id, request.request_id)
         if rest_s is not None or fault < FAULT_SHARE / 6:
             refused = {"Not_Executed": "1"} | self._headers()
             if rest_s is not None:
@@ -128,7 +129,7 @@
             refusal = answer(request.request_id, b"", 503, signature="", **refused)
             await connection.send(refusal)
             return
-        self._note(request)
+        self._record_start(request)
         if fault < 2 * FAULT_SHARE / 6:
             connection.reset()
         elif fault < 3 * FAULT_SHARE / 6:
@@ -140,33 +141,33 @@
             await self._plain(request, connection, surplus=fault < 5 * FAULT_SHARE / 6)
 
     def _headers(self) -> dict[str, str]:
-        """Return the headers about the engine."""
-        return self._says.headers(self._endpoint_id)
+        """Return the headers with the engine's statements."""
+        return self._statements.headers(self._endpoint_id)
 
-    def _note(self, request: RawRequest) -> None:
-        """Record that a request is begun."""
+    def _record_start(self, request: RawRequest) -> None:
+        """Record that a request begins to run."""
         self._record.runs[request.request_id] += 1
         self._record.bodies[request.request_id] = digest(request.body)
         self._record.customers[request.request_id] = request.headers.get("tenant", "")
 
     async def _plain(self, request: RawRequest, connection: Connection, surplus: bool) -> None:
-        """Answer with a length, sometimes with a second answer behind."""
-        await asyncio.sleep(self._rng.random() * LONGEST_PLAIN_S)
-        body = plain_of(request.request_id, request.body)
+        """Send an answer with Content-Length; surplus appends a second, unexpected answer."""
+        await asyncio.sleep(self._rng.random() * MAX_PLAIN_S)
+        body = plain_answer(request.request_id, request.body)
         data = answer(request.request_id, body, **self._headers())
         if surplus:
             data += answer("of-nobody", b"surplus")
         await connection.send(data)
 
     async def _stream(self, request: RawRequest, connection: Connection, breaks: bool) -> None:
-        """Stream what the caller lacks, sometimes only a part of it."""
+        """Stream the events after Last-Event-Id; with breaks, reset midway in a random event."""
         request_id = request.request_id
         first = int(request.headers.get("last-event-id", 0)) + 1
-        last = events_of(request_id)
+        last = event_count(request_id)
         stop = self._rng.randint(first, last) if breaks else None
         await connection.send(stream_head(request_id, **self._headers()))
         for number in range(first, last + 1):
-            event = event_of(request_id, number)
+            event = stream_event(request_id, number)
             if number == stop:
                 await connection.send(chunk(event[:5]))
                 connection.reset()
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/harms.py
@@ -1,4 +1,4 @@
-"""What the soak does to nodes, links, store and engines; the harms overlap."""
+"""Faults that the soak injects into nodes, links, the store and engines; they overlap."""
 
 import asyncio
 import contextlib
@@ -13,29 +13,29 @@
 from springbridge_standins.gateway.store import StoreFault
 from springbridge_standins.proxy import Harm, LoopbackProxy
 
-# Time that a node process takes to start and find its peers, with room for a busy machine.
-START_S = 2.0
-# The grace of a planned stop in the nodes' settings.
+# Time for a node process to start and find its peers, with a margin for a busy machine.
+NODE_START_S = 2.0
+# Grace period of a planned stop, graceS in the nodes' settings.
 GRACE_S = 6.0
-# Room beyond the grace for a process to end.
-END_S = 2.0
-# Seconds between two copies, and how many of them back the store comes at most.
-COPY_S = 1.0
-OLDEST_COPIES = 4
-# Seconds within which operators and endpoints have written again what the store lost.
-WRITTEN_AGAIN_S = 2.0
-# Longest pause between the beginnings of two harms; they last longer, so they overlap.
-LONGEST_PAUSE_S = 1.2
-# Longest time of a harm that ends by itself.
-LONGEST_HARM_S = 3
-# Share of the store's faults after which the feed no longer reaches back.
+# Margin beyond the grace period for a process to exit.
+EXIT_MARGIN_S = 2.0
+# Interval between two copies of the store, and how many copies back it goes at most.
+COPY_INTERVAL_S = 1.0
+MAX_COPIES_BACK = 4
+# Longest time until operators and endpoints have rewritten what the store lost.
+MAX_REWRITE_DELAY_S = 2.0
+# Longest pause between the beginnings of two faults; faults last longer, so they overlap.
+MAX_PAUSE_S = 1.2
+# Longest duration of a fault that ends by itself.
+MAX_FAULT_S = 3
+# Share of the store's faults that also truncate the history of its feed.
 HISTORY_LOST_SHARE = 0.3
-# Versions and reload signals that follow each other without a pause to settle.
+# Number of versions and reload signals in quick succession, with no time to settle between.
 CHANGES_IN_SERIES = 5
 
 
-async def harm_forever(soak: Soak) -> None:
-    """Do harm again and again; the harms overlap."""
+async def inject_faults_forever(soak: Soak) -> None:
+    """Inject random faults until cancelled; they overlap."""
     harms = (
         _harm_engine_link,
         _harm_store_link,
@@ -56,7 +56,7 @@
             harm = soak.rng.choice(harms)
             soak.counts[f"harm {harm.__name__.strip('_')}"] += 1
             group.create_task(harm(soak))
-            await asyncio.sleep(soak.rng.random() * LONGEST_PAUSE_S)
+            await asyncio.sleep(soak.rng.random() * MAX_PAUSE_S)
 
 
 async def _harm_engine_link(soak: Soak) -> None:
@@ -68,74 +68,74 @@
 
 
 async def _harm_link(soak: Soak, proxies: list[LoopbackProxy]) -> None:
-    """Harm one link for a while."""
+    """Inject a fault into one link for a while."""
     proxy = soak.rng.choice(proxies)
     proxy.harm = soak.rng.choice([harm for harm in Harm if harm is not Harm.NONE])
-    await asyncio.sleep(soak.rng.random() * LONGEST_HARM_S)
+    await asyncio.sleep(soak.rng.random() * MAX_FAULT_S)
     proxy.harm = Harm.NONE
 
 
 async def _harm_store(soak: Soak) -> None:
-    """Let the store fail for all."""
+    """Let the store fail for all nodes for a while."""
     soak.store.fault = soak.rng.choice(
         [fault for fault in StoreFault if fault is not StoreFault.NONE]
     )
     if soak.rng.random() < HISTORY_LOST_SHARE:
         soak.store.history_lost_before = soak.store.version
-    await asyncio.sleep(soak.rng.random() * LONGEST_HARM_S)
+    await asyncio.sleep(soak.rng.random() * MAX_FAULT_S)
     soak.store.fault = StoreFault.NONE
 
 
 async def _kill_node(soak: Soak) -> None:
-    """Kill a node and start it again."""
-    async with _free_node(soak) as node:
+    """Kill a node and restart it."""
+    async with _reserve_node(soak) as node:
         if node is not None:
             node.signal(signal.SIGKILL)
-            await node.ended()
+            await node.wait_exit()
             await asyncio.sleep(soak.rng.random())
             await node.start()
-            await asyncio.sleep(START_S)
+            await asyncio.sleep(NODE_START_S)
 
 
 async def _freeze_node(soak: Soak) -> None:
-    """Freeze a node and let it go on."""
-    async with _free_node(soak) as node:
+    """Freeze a node for a while."""
+    async with _reserve_node(soak) as node:
         if node is not None:
             node.signal(signal.SIGSTOP)
-            await asyncio.sleep(soak.rng.random() * LONGEST_HARM_S)
+            await asyncio.sleep(soak.rng.random() * MAX_FAULT_S)
             node.signal(signal.SIGCONT)
 
 
 async def _stop_node(soak: Soak) -> None:
-    """Stop a node as planned work does; it has to end by itself within the grace."""
-    async with _free_node(soak) as node:
+    """Stop a node with SIGTERM and restart it; it has to exit within the grace period."""
+    async with _reserve_node(soak) as node:
         if node is None:
             return
         node.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(GRACE_S + END_S):
-                status = await node.ended()
+            async with asyncio.timeout(GRACE_S + EXIT_MARGIN_S):
+                status = await node.wait_exit()
             if status and not _was_still_starting(node, status):
-                soak.violated("a planned stop ends well", f"{node.name} status {status}")
+                soak.violated("a planned stop exits with status 0", f"{node.name} status {status}")
         except TimeoutError:
-            soak.violated("a planned stop ends in its grace", node.name)
+            soak.violated("a planned stop ends within its grace period", node.name)
             node.signal(signal.SIGKILL)
-            await node.ended()
+            await node.wait_exit()
         await node.start()
-        await asyncio.sleep(START_S)
+        await asyncio.sleep(NODE_START_S)
 
 
 def _was_still_starting(node: NodeProcess, status: int) -> bool:
-    """Return whether the signal ended a process that had nothing to cut off yet.
+    """Return whether the signal ended a process that did not serve requests yet.
 
-    On a busy machine an interpreter takes longer to start than the harms wait; the signal comes
-    before the program can handle it.
+    On a busy machine the interpreter may take longer than NODE_START_S to start, and the
+    signal then arrives before the program has installed its handler.
     """
     return status == -signal.SIGTERM and not node.had_started()
 
 
 async def _reload_node(soak: Soak) -> None:
-    """Change a settings file, with a signal or without."""
+    """Rewrite a settings file, half of the time with a reload signal."""
     node = soak.rng.choice(soak.nodes)
     node.touch_settings()
     if soak.rng.random() < 0.5 and not node.busy:
@@ -143,13 +143,13 @@
 
 
 async def _change_configuration(soak: Soak) -> None:
-    """Write a new version that allows the same."""
+    """Write a new version of the configuration with the same content."""
     soak.version += soak.rng.randint(1, 3)
     await soak.store.put("op", "config", configuration(soak.version))
 
 
 async def _change_in_series(soak: Soak) -> None:
-    """Write versions and send reload signals in quick succession."""
+    """Write versions and reload settings in quick succession."""
     for _ in range(CHANGES_IN_SERIES):
         await _change_configuration(soak)
         await _reload_node(soak)
@@ -157,7 +157,7 @@
 
 
 async def _stop_nodes_in_turn(soak: Soak) -> None:
-    """Stop one node after another, the next while the one before still ends."""
+    """Stop one node after another, each while the one before may still be stopping."""
     async with asyncio.TaskGroup() as group:
         for _ in soak.nodes:
             group.create_task(_stop_node(soak))
@@ -165,7 +165,7 @@
 
 
 async def _drain_engine(soak: Soak) -> None:
-    """Let an engine say that it leaves, and come back."""
+    """List an engine as draining, then as ready again."""
     name = soak.rng.choice(sorted(soak.engines))
     await soak.list_engine(name, "draining")
     await asyncio.sleep(1 + soak.rng.random() * 2)
@@ -173,34 +173,34 @@
 
 
 async def copy_forever(soak: Soak) -> None:
-    """Take copies that the store may come back from."""
+    """Take copies of the store, from which it may be restored, until cancelled."""
     while True:
         soak.store.take_copy()
-        await asyncio.sleep(COPY_S)
+        await asyncio.sleep(COPY_INTERVAL_S)
 
 
 async def _store_from_older_copy(soak: Soak) -> None:
-    """Let the store come back from a copy some seconds old; others write again what they wrote."""
-    lost = await soak.store.come_back_older(-soak.rng.randint(1, OLDEST_COPIES))
-    older = {(row.table, row.key): soak.store.value_of(row.table, row.key) for row in lost}
-    await asyncio.sleep(soak.rng.random() * WRITTEN_AGAIN_S)
+    """Restore the store from a copy some seconds old; the lost rows are rewritten later."""
+    lost = await soak.store.come_back_older(-soak.rng.randint(1, MAX_COPIES_BACK))
+    restored = {(row.table, row.key): soak.store.value_of(row.table, row.key) for row in lost}
+    await asyncio.sleep(soak.rng.random() * MAX_REWRITE_DELAY_S)
     for row in lost:
-        # Unless somebody has written something newer there meanwhile.
-        if soak.store.value_of(row.table, row.key) == older[row.table, row.key]:
+        # Skip rows that have been written since.
+        if soak.store.value_of(row.table, row.key) == restored[row.table, row.key]:
             await soak.store.put_content(row.table, row.key, row.value)
 
 
 async def _harm_duties(soak: Soak) -> None:
-    """Let duty calls fail for a while."""
+    """Let calls to the platform for duties fail for a while."""
     faults = [fault for fault in DutyFault if fault is not DutyFault.NONE]
     soak.duties.fault = soak.rng.choice(faults)
-    await asyncio.sleep(soak.rng.random() * LONGEST_HARM_S)
+    await asyncio.sleep(soak.rng.random() * MAX_FAULT_S)
     soak.duties.fault = DutyFault.NONE
 
 
 @contextlib.asynccontextmanager
-async def _free_node(soak: Soak) -> AsyncIterator[NodeProcess | None]:
-    """Give a node that no other harm holds, as long as two others are well; else None."""
+async def _reserve_node(soak: Soak) -> AsyncIterator[NodeProcess | None]:
+    """Reserve a node that no other fault affects; None unless two others are left."""
     free = [node for node in soak.nodes if not node.busy]
     if len(free) < 3:
         yield None
@@ -211,4 +211,4 @@
         yield node
     finally:
         node.busy = False
-        node.freed_s = time.monotonic()
+        node.released_s = time.monotonic()
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/nodes.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Node processes of the soak: the real program, started, signalled and ended by its process id."""
+"""Node processes of the soak: each runs the real program and is controlled by signals."""
 
 import asyncio
 import os
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Ports:
-    """Ports that all nodes use, each on its own loopback IP."""
+    """Ports of each node; all nodes use the same ones, each on its own loopback IP."""
 
     callers: int
     ready: int
@@ -49,12 +49,12 @@
 
 
 class NodeProcess:
-    """One node as a process of its own.
+    """A node that runs as a process.
 
     Attributes:
-      busy: Whether a harm holds the node, so that no other harm takes it.
-      freed_s: When the last harm let it go, on the monotonic clock.
-      kills: How often it was killed; each kill excuses missing answers.
+      busy: Whether a fault affects the node, so that no other fault may pick it.
+      released_s: When the last fault ended, on the monotonic clock.
+      kills: How often it was killed; requests under way then may get no answer.
     """
 
     def __init__(
@@ -67,12 +67,12 @@
         folder: Path,
         seeds: list[str],
     ):
-        """Write the settings file; nothing is started yet."""
+        """Write the settings file without starting the process."""
         self.ip = ip
         self.name = f"node-{number}"
         self.ports = ports
         self.busy = False
-        self.freed_s = float("-inf")
+        self.released_s = float("-inf")
         self.kills = 0
         self._settings = folder / f"{self.name}.toml"
         self._log = folder / f"{self.name}.log"
@@ -91,7 +91,7 @@
         )
 
     @property
-    def callers(self) -> str:
+    def caller_address(self) -> str:
         """Return the address for callers."""
         return f"{self.ip}:{self.ports.callers}"
 
@@ -101,7 +101,7 @@
         return f"{self.ip}:{self.ports.directory}"
 
     async def start(self) -> None:
-        """Start the process; its log goes to a file."""
+        """Start the process; its output is appended to the log file."""
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -113,27 +113,27 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal if the process still runs."""
+        """Send a signal if the process still runs; SIGKILL is counted in kills."""
         self.kills += number is signal.SIGKILL
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
-    async def ended(self) -> int:
-        """Wait for the end of the process and return its exit status."""
+    async def wait_exit(self) -> int:
+        """Wait until the process has exited and return its status."""
         return await self._process.wait()
 
     def had_started(self) -> bool:
-        """Return whether the process has logged its start; before that it serves nobody."""
+        """Return whether the process has logged its start; before that it serves no requests."""
         return f'"pid":{self._process.pid},' in self._log.read_text()
 
     def touch_settings(self) -> None:
-        """Write the settings file anew, whole at every moment: a node may be starting from it."""
+        """Rewrite the settings file atomically, as a node may be reading it."""
         written = self._settings.with_suffix(".new")
         written.write_text(self._settings.read_text())
         written.replace(self._settings)
 
     async def end(self) -> None:
-        """Kill the process, whatever it does."""
+        """Kill the process, also if it is frozen, and wait for its end."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         if self._process is not None:
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/rates.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/rates.py
@@ -1,6 +1,6 @@
-"""Engines of the soak in need: they name rates that come, change and go.
+"""Rate limits that engines of the soak name in their answers, change and lift.
 
-Like the request that ends engines it draws from a source of chance of its own.
+Like the poison request, this part has its own random generator.
 """
 
 import asyncio
@@ -12,57 +12,57 @@
 from springbridge_standins.proxy import Harm
 from springbridge_standins.rates.rate_record import IN_TOUCH_S, Arrival, Named, RateRecord
 
-# Rates that are named, in requests a second.
+# Rates that engines name, in requests per second.
 RATES_PER_S = (0.5, 1.0, 2.0, 5.0, 20.0, 200.0)
-# Longest pause between two changes, and seconds for which a rate is named: from, to.
+# Longest pause before another engine names a rate, and shortest and longest time it names it.
 PAUSE_S, NAMED_S = 2.0, (5.0, 12.0)
-# Share of the rates that are followed by another one and not by none.
+# Share of the rates that are followed by another rate rather than by none.
 CHANGED_SHARE = 0.3
 
 
 @dataclass
 class EngineRates:
-    """The rates of all engines, and what arrived.
+    """The rates that all engines name, and the requests that arrived under them.
 
     Attributes:
-      now: The record of each engine's present run.
-      before: Those of runs that are over, by the name of the engine.
+      current: Record of each engine's current incarnation, by name of the engine.
+      past: Name of the engine and record of each earlier incarnation.
     """
 
     soak: Soak
-    now: dict[str, RateRecord] = field(default_factory=dict)
-    before: list[tuple[str, RateRecord]] = field(default_factory=list)
-    _harmed_until_s: dict[str, float] = field(default_factory=dict)
+    current: dict[str, RateRecord] = field(default_factory=dict)
+    past: list[tuple[str, RateRecord]] = field(default_factory=list)
+    _excused_until_s: dict[str, float] = field(default_factory=dict)
 
-    def arrived(self, name: str, request_id: str) -> None:
-        """Note that a request arrives at an engine."""
-        record = self.now.setdefault(name, RateRecord())
+    def on_arrival(self, name: str, request_id: str) -> None:
+        """Record that a request arrives at an engine."""
+        record = self.current.setdefault(name, RateRecord())
         record.arrivals.append(Arrival(time.monotonic(), self.is_excused(name, request_id)))
 
     def headers(self, name: str) -> dict[str, str]:
-        """Return the headers for an answer of an engine."""
-        per_s = self.now.setdefault(name, RateRecord()).answered(time.monotonic())
+        """Return the header with the rate of an engine; none if it names no rate."""
+        per_s = self.current.setdefault(name, RateRecord()).answered(time.monotonic())
         return {} if per_s is None else {"Server_Limit": str(per_s)}
 
-    def ended(self, name: str) -> None:
-        """Note that an engine ends; its next run names no rate."""
-        if name in self.now:
-            self.before.append((name, self.now.pop(name)))
+    def on_end(self, name: str) -> None:
+        """Record that an engine ends; its next incarnation names no rate at first."""
+        if name in self.current:
+            self.past.append((name, self.current.pop(name)))
 
     def is_excused(self, name: str, request_id: str) -> bool:
-        """Return whether the sender, or the way to the engine, was harmed a moment ago."""
+        """Return whether a fault affected the sending node, or the link to the engine, recently."""
         now_s = time.monotonic()
         if self.soak.proxy_of(name).harm is not Harm.NONE:
-            self._harmed_until_s[name] = now_s + IN_TOUCH_S
-        asked = self.soak.asked.get(request_id)
-        # A request that is in no caller's hands is one that ends engines; any node may send it.
-        node = asked and self.soak.node_at(asked.callers)
-        is_harmed = node is not None and (node.busy or node.freed_s > now_s - IN_TOUCH_S)
-        return is_harmed or self._harmed_until_s.get(name, 0.0) > now_s
+            self._excused_until_s[name] = now_s + IN_TOUCH_S
+        sent = self.soak.sent.get(request_id)
+        # A request without caller is the poison request, which any node may send.
+        node = sent and self.soak.node_at(sent.caller_address)
+        is_affected = node is not None and (node.busy or node.released_s > now_s - IN_TOUCH_S)
+        return is_affected or self._excused_until_s.get(name, 0.0) > now_s
 
 
 async def name_rates_forever(soak: Soak, rates: EngineRates, rng: random.Random) -> None:
-    """Let one engine after another name a rate for a while; several do at a time."""
+    """Let random engines, several at a time, name a rate for a while, until cancelled."""
     async with asyncio.TaskGroup() as group:
         while True:
             await asyncio.sleep(rng.random() * PAUSE_S)
@@ -71,8 +71,8 @@
 
 
 async def _name_rate(soak: Soak, rates: EngineRates, rng: random.Random, name: str) -> None:
-    """Let an engine name a rate unless it does already, and then another one or none."""
-    record = rates.now.setdefault(name, RateRecord())
+    """Let an engine name one or more rates in turn, then none; skip one that names a rate."""
+    record = rates.current.setdefault(name, RateRecord())
     if record.per_s() is not None:
         return
     while True:
@@ -85,8 +85,8 @@
 
 
 def check_rates(soak: Soak, rates: EngineRates) -> None:
-    """Check that no engine got more than the rule allows."""
-    for name, record in [*rates.before, *rates.now.items()]:
-        most = record.most_over()
-        if most > 0:
-            soak.violated("no more than the rate that an engine names", f"{name} {most:g} over")
+    """Check that no engine got more requests than its rates allow."""
+    for name, record in [*rates.past, *rates.current.items()]:
+        excess = record.most_over()
+        if excess > 0:
+            soak.violated("no more than the rate that an engine names", f"{name} {excess:g} over")
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/soak.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/soak.py
@@ -1,10 +1,10 @@
-"""A randomized soak: real node processes, harmed from outside, with the promises checked all along.
+"""Randomized soak of the gateway: real node processes under injected faults, with checked results.
 
-What is checked is what callers and engines see: whole answers that belong to their request, nothing
-run twice that may not be, nothing run that was reported not run, nothing run that nobody asked for,
-the right customer, and every engine gets what it says it wants: no more than its rate, rest, and
-nothing new once it leaves. All random draws come from
-the seed; the timing of processes does not.
+The checks cover what callers and engines see: answers are complete and belong to their request, a
+request that may not be repeated runs at most once, a request reported as not run does not run,
+nothing runs that no caller sent, and the customer is right. An engine gets no more than its rate,
+no requests while it asks for rest, and no new ones once it leaves. All random draws come from the
+seed; the timing of processes does not.
 """
 
 import asyncio
@@ -25,11 +25,15 @@
 from springbridge_standins.gateway.soak.checks import check_duties, check_record
 from springbridge_standins.gateway.soak.crashes import (
     check_poison,
-    end_engine,
+    crash_engine,
     send_poison_forever,
 )
 from springbridge_standins.gateway.soak.engine import SoakScript
-from springbridge_standins.gateway.soak.harms import START_S, copy_forever, harm_forever
+from springbridge_standins.gateway.soak.harms import (
+    NODE_START_S,
+    copy_forever,
+    inject_faults_forever,
+)
 from springbridge_standins.gateway.soak.nodes import NodeProcess, Ports
 from springbridge_standins.gateway.soak.rates import (
     EngineRates,
@@ -40,15 +44,15 @@
 from springbridge_standins.gateway.soak.statements import (
     EngineStatements,
     check_statements,
-    say_forever,
+    make_statements_forever,
 )
 from springbridge_standins.gateway.store import StoreStandIn
 from springbridge_standins.http_standin import running
 from springbridge_standins.proxy import LoopbackProxy
 from springbridge_standins.soak_report import print_report
 
-# How many times as long a soak may go on, on a machine too busy to reach enough in its time.
-LONGEST = 6
+# A soak on a machine too busy to reach enough in its time may take this many times as long.
+MAX_LENGTH_FACTOR = 6
 
 
 async def run_soak(
@@ -59,23 +63,23 @@
     callers: int = 8,
     enough: Callable[[], bool] = lambda: True,
 ) -> Soak:
-    """Run a soak and return what it found; the nodes' logs are in the folder then.
+    """Run a soak and return its state with the violations; the nodes log into the folder.
 
     Args:
-      enough: Returns whether the soak has reached what it is for; on a busy machine it goes on
-        until then, up to LONGEST times as long.
+      enough: Returns whether the soak has exercised what it is for; if not, it is extended, up to
+        MAX_LENGTH_FACTOR times its length.
     """
     async with contextlib.AsyncExitStack() as stack:
         soak = Soak(random.Random(seed), StoreStandIn())
         await stack.enter_async_context(running(soak.store))
         await stack.enter_async_context(running(soak.duties))
-        says = EngineStatements(soak, EngineRates(soak))
-        await _start_engines(soak, says, stack)
+        statements = EngineStatements(soak, EngineRates(soak))
+        await _start_engines(soak, statements, stack)
         await soak.store.put("op", "config", configuration(soak.version))
         net = stack.enter_context(loopback_network(seed))
         await _start_nodes(soak, stack, folder, [f"{net}.{number + 1}" for number in range(nodes)])
-        tasks = _start_tasks(soak, says, seed, callers)
-        for _ in range(LONGEST):
+        tasks = _start_tasks(soak, statements, seed, callers)
+        for _ in range(MAX_LENGTH_FACTOR):
             done, _ = await asyncio.wait(
                 tasks, timeout=seconds, return_when=asyncio.FIRST_EXCEPTION
             )
@@ -90,32 +94,38 @@
         check_record(soak)
         check_poison(soak)
         check_duties(soak)
-        check_rates(soak, says.rates)
-        check_statements(soak, says)
+        check_rates(soak, statements.rates)
+        check_statements(soak, statements)
         return soak
 
 
-def _start_tasks(soak: Soak, says: EngineStatements, seed: int, callers: int) -> list[asyncio.Task]:
-    """Start the callers and everything that does harm."""
+def _start_tasks(
+    soak: Soak, statements: EngineStatements, seed: int, callers: int
+) -> list[asyncio.Task]:
+    """Start the callers and the fault injection."""
     work = [
         *(call_forever(soak, number) for number in range(callers)),
-        harm_forever(soak),
+        inject_faults_forever(soak),
         copy_forever(soak),
         send_poison_forever(soak, random.Random(f"{seed} ender")),
-        name_rates_forever(soak, says.rates, random.Random(f"{seed} rates")),
-        say_forever(soak, says, random.Random(f"{seed} statements")),
+        name_rates_forever(soak, statements.rates, random.Random(f"{seed} rates")),
+        make_statements_forever(soak, statements, random.Random(f"{seed} statements")),
     ]
     return [asyncio.ensure_future(each) for each in work]
 
 
 async def _start_engines(
-    soak: Soak, says: EngineStatements, stack: contextlib.AsyncExitStack
+    soak: Soak, statements: EngineStatements, stack: contextlib.AsyncExitStack
 ) -> None:
     """Start engines, each behind a proxy."""
     names = ["i-desk-1", "i-desk-2", "i-desk-3", "i-model-1", "i-model-2", "i-model-3"]
     for name in names:
         script = SoakScript(
-            name, soak.record, soak.rng, lambda one: end_engine(soak, one, says.ended), says
+            name,
+            soak.record,
+            soak.rng,
+            lambda one: crash_engine(soak, one, statements.on_end),
+            statements,
         )
         engine = EngineStandIn(name, script)
         await stack.enter_async_context(running(engine))
@@ -131,7 +141,7 @@
 async def _start_nodes(
     soak: Soak, stack: contextlib.AsyncExitStack, folder: Path, ips: list[str]
 ) -> None:
-    """Start nodes, each with a proxy of its own to the store."""
+    """Start nodes, each with its own proxy to the store."""
     ports = Ports(*free_ports(5))
     seeds = [f"{ip}:{ports.peers}" for ip in ips[:3]]
     for number, ip in enumerate(ips):
@@ -143,11 +153,11 @@
         await node.start()
         stack.push_async_callback(node.end)
         soak.nodes.append(node)
-    await asyncio.sleep(START_S)
+    await asyncio.sleep(NODE_START_S)
 
 
 def main(seed: int = 1, minutes: float = 1.0, seeds: int = 1, nodes: int = 4) -> None:
-    """Run soaks with one seed after another and fail if a promise was broken."""
+    """Run soaks with consecutive seeds; exit with 1 if one finds a violation."""
     failed = False
     for number in range(seed, seed + seeds):
         began_s = time.monotonic()
@@ -155,7 +165,7 @@
         soak = asyncio.run(run_soak(number, minutes * 60, folder, nodes))
         failed = failed or bool(soak.violations)
         took_s = time.monotonic() - began_s
-        summary = f"seed {number}, {len(soak.asked)} requests, {took_s:.0f} s"
+        summary = f"seed {number}, {len(soak.sent)} requests, {took_s:.0f} s"
         print_report(summary, soak.violations, soak.counts)
         if soak.violations:
             typer.echo(f"  logs kept in {folder}")
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/soak_test.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/soak_test.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed: no promise is broken. Longer ones run by hand, `make soak`."""
+"""Short soaks with fixed seeds find no violation; longer ones are run by hand, `make soak`."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 def test_a_short_soak_breaks_no_promise(tmp_path):
     soak = asyncio.run(run_soak(7, 12.0, tmp_path))
     assert_that(soak.violations, Equals([]))
-    assert_that(len(soak.asked), GreaterThan(20))
+    assert_that(len(soak.sent), GreaterThan(20))
 
 
 def test_a_short_soak_of_a_large_fleet_breaks_no_promise(tmp_path):
-    # More nodes than tell each other of all requests, so that schedulers choose for the others.
+    # With this many nodes load isn't shared with all peers, so that schedulers choose endpoints.
     def scheduled():
         logs = "".join(path.read_text() for path in tmp_path.glob("*.log"))
         return logs.count('"scheduler":"127.')
@@ -25,8 +25,8 @@
     assert_that(scheduled(), GreaterThan(20))
 
 
-# Guards against a second report of a window: the store came back from a copy without the decision,
-# and a holder that had not heard of it decided anew.
+# Guards against reporting a usage window twice: the store was restored from a copy without the
+# decision, and a lease holder that did not know of it decided again.
 def test_a_window_is_reported_once_though_the_store_loses_the_decision(tmp_path):
     soak = asyncio.run(run_soak(9402, 15.0, tmp_path, nodes=20))
     assert_that(soak.violations, Equals([]))
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/state.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/state.py
@@ -1,4 +1,4 @@
-"""The parts of a running soak, and what it found."""
+"""State of a running soak: its nodes, engines and proxies, and the violations found."""
 
 import asyncio
 import random
@@ -17,33 +17,33 @@
 
 
 @dataclass(frozen=True)
-class Asked:
+class SentRequest:
     """A request that a caller sent.
 
     Attributes:
-      callers: The address for callers of the node that it was sent to.
+      caller_address: Caller address of the node that it was sent to.
       sent_s: When it was sent, on the monotonic clock.
     """
 
     path: str
     body_digest: str
-    callers: str
+    caller_address: str
     sent_s: float
 
 
 @dataclass
 class Soak:
-    """The parts of one run and what it found.
+    """State of one soak.
 
     Attributes:
-      reported_not_run: Ids of requests whose caller was answered that they were not run.
-      violations: Each broken promise in a line.
+      reported_not_run: Ids of the requests that were reported to their caller as not run.
+      violations: One line for each violation.
       counts: Answers by path and status, and faults by name.
-      starts: How often each engine has started again.
-      ended_s: When engines ended under a request, on the monotonic clock.
-      passed_on_s: When a node first passed on an answer of an engine that leaves, on the same
-        clock; by the node's address for callers and the engine's run.
-      poison_arrived_s: When the request that ends them arrived at engines, on the same clock.
+      starts: How often each engine has restarted.
+      crashed_s: When engines crashed on the poison request, on the monotonic clock.
+      leaving_relayed_s: When a node first relayed an answer in which an engine says that it
+        leaves, on the same clock; by the node's caller address and the engine's incarnation.
+      poison_arrived_s: When the poison request arrived at engines, on the same clock.
     """
 
     rng: random.Random
@@ -54,23 +54,23 @@
     engines: dict[str, EngineStandIn] = field(default_factory=dict)
     engine_proxies: list[LoopbackProxy] = field(default_factory=list)
     store_proxies: list[LoopbackProxy] = field(default_factory=list)
-    asked: dict[str, Asked] = field(default_factory=dict)
+    sent: dict[str, SentRequest] = field(default_factory=dict)
     reported_not_run: set[str] = field(default_factory=set)
     violations: list[str] = field(default_factory=list)
     counts: Counter = field(default_factory=Counter)
     version: int = 1
     starts: Counter = field(default_factory=Counter)
-    ended_s: list[float] = field(default_factory=list)
+    crashed_s: list[float] = field(default_factory=list)
     poison_arrived_s: list[float] = field(default_factory=list)
-    passed_on_s: dict[tuple[str, str], float] = field(default_factory=dict)
+    leaving_relayed_s: dict[tuple[str, str], float] = field(default_factory=dict)
     _tasks: set[asyncio.Task] = field(default_factory=set)
 
-    def node_at(self, callers: str) -> NodeProcess:
-        """Return the node with an address for callers."""
-        return next(node for node in self.nodes if node.callers == callers)
+    def node_at(self, caller_address: str) -> NodeProcess:
+        """Return the node with a caller address; raises StopIteration if there is none."""
+        return next(node for node in self.nodes if node.caller_address == caller_address)
 
     async def list_engine(self, name: str, state: str) -> None:
-        """Write an engine's entry into the platform's list, with the address of its proxy."""
+        """Write an engine's entry, with the address of its proxy, into the list of endpoints."""
         proxy = self.proxy_of(name)
         service = "desk" if "desk" in name else "model"
         start = {"born": self.starts[name]} if self.starts[name] else {}
@@ -80,17 +80,17 @@
         """Return the proxy of an engine."""
         return self.engine_proxies[sorted(self.engines).index(name)]
 
-    def background(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something until it ends, or the soak does."""
+    def start_background(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine in the background until it or the soak ends."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def stop_background(self) -> None:
-        """End what still runs."""
+        """Cancel the background tasks."""
         for task in self._tasks:
             task.cancel()
 
     def violated(self, promise: str, detail: str) -> None:
-        """Note a broken promise."""
+        """Record a violation: the rule that was broken, and what was seen."""
         self.violations.append(f"{promise}: {detail}")
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/statements.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/statements.py
@@ -1,6 +1,6 @@
-"""Engines of the soak that say in their answers that they leave, or ask nodes for rest.
+"""Engines of the soak that state in their answers that they leave, or ask nodes for rest.
 
-Like the rates that they name it draws from a source of chance of its own.
+Like the rates that engines name, this part has its own random generator.
 """
 
 import asyncio
@@ -12,41 +12,42 @@
 from springbridge_standins.gateway.soak.state import Soak
 from springbridge_standins.rates.statement_record import DRAIN_S, UNDER_WAY_S
 
-# Seconds for which an engine that leaves serves on, from and to, and for which it is down then.
-SERVES_ON_S, DOWN_S = (2.5, 6.0), (0.3, 1.5)
-# Rests that are asked for, in seconds, and how long an engine asks for them, from and to.
-RESTS_S, SHEDS_S = (0.2, 1.0, 3.0, 8.0, 30.0), (0.3, 4.0)
-# Longest pause between two engines that begin to leave or to ask for rest, in seconds.
+# Shortest and longest time that a leaving engine keeps serving, and that it is down after that.
+SERVING_S, DOWN_S = (2.5, 6.0), (0.3, 1.5)
+# Rests that engines ask for, and shortest and longest time for which an engine does so.
+RESTS_S, SHEDDING_S = (0.2, 1.0, 3.0, 8.0, 30.0), (0.3, 4.0)
+# Longest pause before another engine begins to leave or to ask for rest.
 PAUSE_S = 2.5
-# The most requests from one node in a rest, the users' rule.
-MOST_IN_A_REST = 2
+# Most requests that one node may send during a rest: the users' rule.
+MAX_REQUESTS_IN_REST = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached a run of an engine.
+    """A request that reached an incarnation of an engine.
 
     Attributes:
-      run: Name of the engine and number of its start.
-      node: Address for callers of the node that sent it.
+      incarnation: Name of the engine and number of its restarts.
+      node: Caller address of the node that sent it.
       sent_s: When its caller sent it, on the monotonic clock.
-      is_excused: Whether that node, or its way to the engine, was harmed a moment before.
-      harmed_s: When that node was last killed, stopped or frozen until then.
+      at_s: When it arrived, on the same clock.
+      is_excused: Whether a fault affected that node, or its link to the engine, shortly before.
+      disrupted_s: When that node was last killed, stopped or frozen before the arrival.
     """
 
-    run: str
+    incarnation: str
     node: str
     sent_s: float
     at_s: float
     is_excused: bool
-    harmed_s: float
+    disrupted_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class AskedRest:
-    """A wish for rest, and which node got it."""
+class RestRequest:
+    """A request for rest in an answer of an engine, and the node that got it."""
 
-    run: str
+    incarnation: str
     node: str
     at_s: float
     rest_s: float
@@ -54,11 +55,11 @@
 
 @dataclass
 class EngineStatements:
-    """What the engines say, and what reached them.
+    """What the engines state in their answers, and the requests that reached them.
 
     Attributes:
-      leaving: Names of the engines that say they leave.
-      rests_s: The rest that an engine asks for now, by its name.
+      leaving: Names of the engines that say that they leave.
+      rests_s: The rest that each engine asks for at present, by its name.
     """
 
     soak: Soak
@@ -66,123 +67,150 @@
     leaving: set[str] = field(default_factory=set)
     rests_s: dict[str, float] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
-    asked_rest: list[AskedRest] = field(default_factory=list)
+    rest_requests: list[RestRequest] = field(default_factory=list)
 
-    def arrived(self, name: str, request_id: str) -> None:
-        """Note that a request arrives at an engine."""
-        self.rates.arrived(name, request_id)
-        asked = self.soak.asked.get(request_id)
-        if asked is not None:
+    def on_arrival(self, name: str, request_id: str) -> None:
+        """Record that a request arrives at an engine."""
+        self.rates.on_arrival(name, request_id)
+        sent = self.soak.sent.get(request_id)
+        if sent is not None:
             excused = self.rates.is_excused(name, request_id)
             now_s = time.monotonic()
-            node = self.soak.node_at(asked.callers)
-            harmed_s = now_s if node.busy else node.freed_s
+            node = self.soak.node_at(sent.caller_address)
+            disrupted_s = now_s if node.busy else node.released_s
             self.arrivals.append(
-                Arrival(self.run_of(name), asked.callers, asked.sent_s, now_s, excused, harmed_s)
+                Arrival(
+                    self.incarnation_of(name),
+                    sent.caller_address,
+                    sent.sent_s,
+                    now_s,
+                    excused,
+                    disrupted_s,
+                )
             )
 
     def headers(self, name: str) -> dict[str, str]:
-        """Return the headers for an answer of an engine."""
+        """Return the headers that an engine adds to an answer."""
         headers = self.rates.headers(name)
         if name in self.leaving:
-            headers |= {"Server_Leaving": "1", "Instance_Id": self.run_of(name)}
+            headers |= {"Server_Leaving": "1", "Instance_Id": self.incarnation_of(name)}
         return headers
 
     def rest_s(self, name: str, request_id: str) -> float | None:
-        """Return the rest that an engine asks for as it turns a request away; None if it serves."""
+        """Return the rest that an engine asks for in a refusal; None if it serves the request."""
         rest_s = self.rests_s.get(name)
-        asked = self.soak.asked.get(request_id)
-        if rest_s is not None and asked is not None:
-            wish = AskedRest(self.run_of(name), asked.callers, time.monotonic(), rest_s)
-            self.asked_rest.append(wish)
+        sent = self.soak.sent.get(request_id)
+        if rest_s is not None and sent is not None:
+            rest_request = RestRequest(
+                self.incarnation_of(name), sent.caller_address, time.monotonic(), rest_s
+            )
+            self.rest_requests.append(rest_request)
         return rest_s
 
-    def ended(self, name: str) -> None:
-        """Note that an engine ends; its next run says nothing."""
-        self.rates.ended(name)
+    def on_end(self, name: str) -> None:
+        """Record that an engine ends; its next incarnation makes no statement at first."""
+        self.rates.on_end(name)
         self.leaving.discard(name)
         self.rests_s.pop(name, None)
 
-    def run_of(self, name: str) -> str:
-        """Return the name of an engine's present run."""
+    def incarnation_of(self, name: str) -> str:
+        """Return the name of an engine's current incarnation."""
         return f"{name}/{self.soak.starts[name]}"
 
 
-async def say_forever(soak: Soak, says: EngineStatements, rng: random.Random) -> None:
-    """Let one engine after another leave or ask for rest; several do at a time."""
+async def make_statements_forever(
+    soak: Soak, statements: EngineStatements, rng: random.Random
+) -> None:
+    """Let random engines, several at a time, leave or ask for rest, until cancelled."""
     async with asyncio.TaskGroup() as group:
         while True:
             await asyncio.sleep(rng.random() * PAUSE_S)
             name = rng.choice(sorted(soak.engines))
             work = rng.choice([_leave, _shed])
-            group.create_task(work(soak, says, rng, name))
+            group.create_task(work(soak, statements, rng, name))
+
 
+async def _leave(soak: Soak, statements: EngineStatements, rng: random.Random, name: str) -> None:
+    """Let an engine say that it leaves, stop and restart.
 
-async def _leave(soak: Soak, says: EngineStatements, rng: random.Random, name: str) -> None:
-    """Let an engine say that it leaves, with its row or without, end, and start again."""
-    if name in says.leaving or not soak.proxy_of(name).is_listening:
+    Its row is set to draining, removed, or left as it is, each in a third of the cases.
+    """
+    if name in statements.leaving or not soak.proxy_of(name).is_listening:
         return
-    run = says.run_of(name)
-    says.leaving.add(name)
+    incarnation = statements.incarnation_of(name)
+    statements.leaving.add(name)
     soak.counts["engines that leave"] += 1
     match rng.randrange(3):
         case 0:
             await soak.list_engine(name, "draining")
         case 1:
             await soak.store.remove("servers", name)
-    await asyncio.sleep(rng.uniform(*SERVES_ON_S))
-    if says.run_of(name) != run or not soak.proxy_of(name).is_listening:
-        # Another harm has ended it.
+    await asyncio.sleep(rng.uniform(*SERVING_S))
+    if statements.incarnation_of(name) != incarnation or not soak.proxy_of(name).is_listening:
+        # Another fault has stopped the engine.
         return
     soak.proxy_of(name).stop()
     soak.engines[name].stop()
-    says.ended(name)
+    statements.on_end(name)
     await asyncio.sleep(rng.uniform(*DOWN_S))
-    await start_anew(soak, name)
+    await restart_engine(soak, name)
 
 
-async def _shed(soak: Soak, says: EngineStatements, rng: random.Random, name: str) -> None:
-    """Let an engine turn requests away and ask for rest for a while."""
-    if name in says.rests_s:
+async def _shed(soak: Soak, statements: EngineStatements, rng: random.Random, name: str) -> None:
+    """Let an engine refuse requests and ask for rest for a while."""
+    if name in statements.rests_s:
         return
     soak.counts["engines that ask for rest"] += 1
-    run = says.run_of(name)
-    says.rests_s[name] = rng.choice(RESTS_S)
-    await asyncio.sleep(rng.uniform(*SHEDS_S))
-    if says.run_of(name) == run:
-        says.rests_s.pop(name, None)
+    incarnation = statements.incarnation_of(name)
+    statements.rests_s[name] = rng.choice(RESTS_S)
+    await asyncio.sleep(rng.uniform(*SHEDDING_S))
+    if statements.incarnation_of(name) == incarnation:
+        statements.rests_s.pop(name, None)
 
 
-async def start_anew(soak: Soak, name: str) -> None:
-    """Start an engine again under its id and at its address, with another start in its entry."""
+async def restart_engine(soak: Soak, name: str) -> None:
+    """Restart an engine under its id and address, with a new incarnation in its entry."""
     await soak.engines[name].start()
     await soak.proxy_of(name).start(soak.proxy_of(name).address)
     soak.starts[name] += 1
     await soak.list_engine(name, "ready")
 
 
-def check_statements(soak: Soak, says: EngineStatements) -> None:
-    """Check that nothing reached engines that had left for a node, or that rested from it."""
-    for arrival in says.arrivals:
-        passed_on_s = soak.passed_on_s.get((arrival.node, arrival.run))
-        if passed_on_s is None or arrival.sent_s <= passed_on_s + DRAIN_S:
+def check_statements(soak: Soak, statements: EngineStatements) -> None:
+    """Check that nodes sent no new requests to leaving engines and kept the rests asked of them."""
+    for arrival in statements.arrivals:
+        leaving_relayed_s = soak.leaving_relayed_s.get((arrival.node, arrival.incarnation))
+        if leaving_relayed_s is None or arrival.sent_s <= leaving_relayed_s + DRAIN_S:
             continue
-        if arrival.harmed_s < passed_on_s:
-            late_s = arrival.sent_s - passed_on_s
-            detail = f"{arrival.run} from {soak.node_at(arrival.node).name} {late_s:.2f} s later"
+        if arrival.disrupted_s < leaving_relayed_s:
+            late_s = arrival.sent_s - leaving_relayed_s
+            detail = (
+                f"{arrival.incarnation} from {soak.node_at(arrival.node).name} "
+                f"{late_s:.2f} s later"
+            )
             soak.violated("nothing new for an engine that leaves", detail)
-    for wish in says.asked_rest:
-        count = sum(_is_in_rest(arrival, wish) for arrival in says.arrivals)
-        if count > MOST_IN_A_REST:
-            detail = f"{wish.run} got {count} from {soak.node_at(wish.node).name}"
+    for rest_request in statements.rest_requests:
+        count = sum(_is_in_rest(arrival, rest_request) for arrival in statements.arrivals)
+        if count > MAX_REQUESTS_IN_REST:
+            detail = (
+                f"{rest_request.incarnation} got {count} "
+                f"from {soak.node_at(rest_request.node).name}"
+            )
             soak.violated("rest for an engine that asks for it", detail)
 
 
-def _is_in_rest(arrival: Arrival, wish: AskedRest) -> bool:
-    """Return whether a request came from a node in the rest that was asked of it.
+def _is_in_rest(arrival: Arrival, rest_request: RestRequest) -> bool:
+    """Return whether a request came from the node that was asked for a rest, during that rest.
 
-    A node that was killed, stopped or frozen since then is excused: it may have forgotten.
+    A node that was killed, stopped or frozen since then is excused, as it may have lost the state.
     """
-    is_between = wish.at_s + UNDER_WAY_S < arrival.at_s < wish.at_s + wish.rest_s
-    is_pair = (arrival.run, arrival.node) == (wish.run, wish.node)
-    return is_between and is_pair and not arrival.is_excused and arrival.harmed_s < wish.at_s
+    is_between = (
+        rest_request.at_s + UNDER_WAY_S < arrival.at_s < rest_request.at_s + rest_request.rest_s
+    )
+    is_pair = (arrival.incarnation, arrival.node) == (rest_request.incarnation, rest_request.node)
+    return (
+        is_between
+        and is_pair
+        and not arrival.is_excused
+        and arrival.disrupted_s < rest_request.at_s
+    )
