--- a/packages/springbridge-standins/springbridge_standins/mutants/__init__.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/__init__.py
@@ -1,1 +1,1 @@
-"""Mutants: a mechanism each, and the test that has to fail without it."""
+"""Mutation tests: each mutant removes one mechanism, and a named test has to fail without it."""
--- a/packages/springbridge-standins/springbridge_standins/mutants/__main__.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/__main__.py
@@ -1,4 +1,4 @@
-"""Runs mutants from the command line."""
+"""Runs the mutation tests from the command line."""
 
 import typer
 
--- a/packages/springbridge-standins/springbridge_standins/mutants/duty_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/duty_mutants.py
@@ -1,5 +1,4 @@
-"""Parts of the lease, of usage and of older copies that a proof has to miss when they are taken
-out."""
+"""Mutants of the duty lease, usage reports, scaling orders and restored store copies."""
 
 from springbridge_standins.mutants.mutant import LIBRARY, NODE, PLATFORM, Mutant
 
@@ -11,7 +10,7 @@
 OLDER_COPY = f"{PLATFORM}/older_copy_test.py"
 DUTIES = f"{PLATFORM}/duties_test.py"
 
-DUTIES_OF_THE_FLEET = (
+DUTY_MUTANTS = (
     Mutant(
         "a lease: the holder stops when its tenure is over",
         f"{LIBRARY}/duties/lease.py",
@@ -20,7 +19,7 @@
         HISTORIES,
     ),
     Mutant(
-        "a lease: a successor waits out the length",
+        "a lease: a successor waits for its full length",
         f"{LIBRARY}/duties/lease.py",
         "share = HANDED_ON_SHARE if _was_handed_on(sight.reading) else 1.0",
         "share = HANDED_ON_SHARE",
@@ -34,14 +33,14 @@
         LEASE,
     ),
     Mutant(
-        "a lease: a take-over under a revision of another era is none",
+        "a lease: a take-over under a revision of another era fails",
         f"{NODE}/gateway/duties/lease_keeper.py",
         "if era_of(written.stamp) != era_of(before.stamp):",
         "if False:",
         HISTORIES,
     ),
     Mutant(
-        "a lease: it is handed on once no call is under way",
+        "a lease: it is handed on only when no call is in progress",
         f"{NODE}/gateway/duties/lease_keeper.py",
         "        self._tenure = None\n        while self._calls_in_progress:",
         "        while False:",
@@ -55,14 +54,14 @@
         f"{LIBRARY}/duties/usage_reports_test.py",
     ),
     Mutant(
-        "usage: without a row, what was told goes on counting as decided",
+        "usage: without a row, known reports still count as decided",
         f"{LIBRARY}/duties/usage_reports.py",
         "starts += [window + 1 for window in self._reports]",
         "starts += []",
         f"{LIBRARY}/duties/usage_reports_test.py",
     ),
     Mutant(
-        "usage: after an older copy, windows that may have been decided are left out",
+        "usage: after an older copy, windows that may have been decided are skipped",
         f"{NODE}/gateway/duties/usage_reporter.py",
         "if content.era >= takeover.era or _is_first(takeover):",
         "if True:",
@@ -76,14 +75,14 @@
         REPORTER,
     ),
     Mutant(
-        "usage: a holder follows itself only if nobody can have been between",
+        "usage: a holder succeeds itself only if no other holder was possible in between",
         f"{LIBRARY}/duties/lease.py",
         "return self.first_seen_s <= self.exclusive_until_s",
         "return self.exclusive_until_s > -math.inf",
         LEASE,
     ),
     Mutant(
-        "orders: none before the list has been seen whole",
+        "orders: none before the list has been complete",
         f"{NODE}/gateway/duties/scaler.py",
         "if not domains or not self._is_list_complete(service, domains):",
         "if not domains:",
--- a/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/gateway_mutants.py
@@ -1,4 +1,4 @@
-"""Mechanisms of the users' platform that a proof has to miss when they are taken out."""
+"""Mutants of the gateway: routing, peers, configuration, overload and quarantine."""
 
 from springbridge_standins.mutants.mutant import (
     LIBRARY,
@@ -21,9 +21,9 @@
 NEWS = f"{STANDINS}/gateway/simulated_crash_news_test.py"
 FOLLOWER = f"{NODE}/gateway/config/configuration_follower_test.py"
 
-USERS_PLATFORM = (
+GATEWAY_MUTANTS = (
     Mutant(
-        "only what an engine promised not to have run is sent again",
+        "only requests that an engine reports as not run are retried",
         f"{LIBRARY}/routing/retries.py",
         "return not attempts.may_have_run or is_repeatable(route)",
         "return True",
@@ -37,21 +37,21 @@
         f"{PLATFORM}/answers_test.py::test_a_stale_answer_is_passed_over",
     ),
     Mutant(
-        "events that the caller has are dropped",
+        "events that the caller already has are dropped",
         f"{NODE}/gateway/requests/relay.py",
         "return int(event_id) > int(progress.last_event)",
         "return True",
         f"{PLATFORM}/streams_test.py::test_events_that_come_twice_are_passed_on_once",
     ),
     Mutant(
-        "an engine that is gone does not count",
+        "an engine that is gone does not count as an attempt",
         f"{NODE}/gateway/requests/attempt.py",
         "exchange.progress.misdirected += 1",
         "pass",
         f"{REQUESTS}::test_an_engine_that_is_gone_does_not_count_among_those_a_request_may_use",
     ),
     Mutant(
-        "repeats draw on the budget",
+        "retries draw on the retry budget",
         f"{NODE}/gateway/requests/router.py",
         "return self._parts.budget.try_retry(exchange.demand.service)",
         "return True",
@@ -65,21 +65,21 @@
         f"{ELIGIBILITY}::test_lapsed_endpoints_get_nothing_once_the_time_to_drain_is_over",
     ),
     Mutant(
-        "a single engine that vanished has left",
+        "a single engine whose entry lapsed has left",
         f"{LIBRARY}/routing/eligibility.py",
         "return {service for service in total if missing[service] * 2 > total[service]}",
         "return set(total)",
         f"{ELIGIBILITY}::test_one_endpoint_that_vanished_over_an_outage_gets_nothing",
     ),
     Mutant(
-        "what is told on grows older",
+        "relayed observations age",
         f"{LIBRARY}/digest.py",
         "observed.member.aged(now_s - observed.received_s, now_s - observed.heartbeat_s)",
         "observed.member",
         f"{LIBRARY}/membership_test.py::test_what_is_told_on_of_a_member_is_as_old_as_it_is",
     ),
     Mutant(
-        "a third node's heartbeat counts from when it was sent",
+        "a relayed heartbeat counts from when it was sent",
         f"{LIBRARY}/membership.py",
         "heartbeat_s = now_s - member.heard_ago_s",
         "heartbeat_s = now_s",
@@ -87,7 +87,7 @@
         "::test_a_heartbeat_that_was_long_on_its_way_is_no_new_sign_of_life",
     ),
     Mutant(
-        "a plain digest tells no age of a node that sends ages",
+        "a digest without ages is no heartbeat of a node that sends ages",
         f"{NODE}/gateway/peers/gossip.py",
         "0.0 if build_of(codec.heartbeat_of(row)) is Build.ROWS else NEVER_S",
         "0.0",
@@ -102,21 +102,21 @@
         f"{FOLLOWER}::test_the_confirmation_of_another_version_does_not_count",
     ),
     Mutant(
-        "a node that nobody confirms reads the store",
+        "a node whose version is not confirmed reads the store",
         f"{LIBRARY}/routing/store_freshness.py",
         "return is_reader or is_overdue(age_s, own_turn_s)",
         "return is_reader",
         f"{FOLLOWER}::test_a_node_whose_version_nobody_confirms_reads_the_store",
     ),
     Mutant(
-        "nodes that stand in for the readers of the store take turns",
+        "substitutes for the readers of the store take turns",
         f"{NODE}/gateway/config/configuration_follower.py",
         "turn_s = self._readers.turn_s(FEED_READERS)",
         "turn_s = 0.0",
         f"{FOLLOWER}::test_an_unconfirmed_node_leaves_the_store_to_those_whose_turn_comes_first",
     ),
     Mutant(
-        "a node that failed to read the list waits for a round of all",
+        "a node that failed to read the list lets all others try first",
         f"{NODE}/gateway/config/endpoint_follower.py",
         "return is_old and self._clock() >= self._next_turn_s",
         "return is_old",
@@ -124,7 +124,7 @@
         "::test_a_node_that_failed_to_read_lets_all_others_try_before_it_tries_again",
     ),
     Mutant(
-        "attempts that nobody confirms are dropped",
+        "attempts that are not confirmed are dropped",
         f"{NODE}/gateway/peers/selection_server.py",
         "            if attempt.since_s > oldest_s:\n                return",
         "            return",
@@ -138,28 +138,28 @@
         f"{SELECTION_SERVER}::test_an_attempt_is_counted_once_and_only_while_it_is_confirmed",
     ),
     Mutant(
-        "a silent scheduler is left out",
+        "a silent scheduler is skipped",
         f"{NODE}/gateway/peers/selection_client.py",
         "            self._coordinators.avoid(address)\n",
         "",
         f"{SELECTION_CLIENT}::test_a_silent_coordinator_is_skipped_and_the_next_one_asked",
     ),
     Mutant(
-        "the asker's own belief of an engine counts",
+        "the client's own view of an engine counts",
         f"{NODE}/gateway/peers/selection_client.py",
         "usable = self._registry.candidates(demand.service, {*tried, *held_back})",
         "usable = list(self._registry._states.values()) or [None]",
         f"{SELECTION_CLIENT}::test_an_endpoint_that_the_client_may_not_use_is_not_taken",
     ),
     Mutant(
-        "the least urgent are refused first",
+        "the least urgent requests are refused first",
         f"{LIBRARY}/routing/overload.py",
         "FULL_SHARE_BY_PRIORITY = (1.5, 0.75, 0.5)",
         "FULL_SHARE_BY_PRIORITY = (1.5, 1.5, 1.5)",
         f"{LIBRARY}/routing/overload_test.py",
     ),
     Mutant(
-        "who would wait too long is refused",
+        "requests that would wait too long are refused",
         f"{LIBRARY}/routing/overload.py",
         "_is_full(state, demand) or _is_behind(state, demand) for",
         "_is_full(state, demand) for",
@@ -167,7 +167,7 @@
         "::test_a_request_that_would_wait_too_long_for_its_target_is_refused",
     ),
     Mutant(
-        "the urgent wait longer than the less urgent",
+        "urgent requests wait longer than less urgent ones",
         f"{LIBRARY}/routing/overload.py",
         "return min(self.max_s, max(self.min_s, self.target_multiple * target_s))",
         "return self.target_multiple * target_s",
@@ -175,35 +175,35 @@
         "::test_a_more_urgent_request_waits_longer_whatever_the_targets",
     ),
     Mutant(
-        "an engine's speed is learnt",
+        "the prefill speed of an engine is learnt",
         f"{LIBRARY}/routing/reading_speed.py",
         "self.tokens_per_s += SAMPLE_WEIGHT * (bounded - self.tokens_per_s)",
         "pass",
         f"{LIBRARY}/routing/reading_speed_test.py::test_a_steady_speed_is_learnt",
     ),
     Mutant(
-        "a long backlog weighs as much as reading",
+        "a long backlog of prefill tokens weighs more",
         f"{LIBRARY}/routing/endpoint_cost.py",
         "return prefill_tokens + (UNREAD_WEIGHT - 1) * beyond",
         "return prefill_tokens",
         f"{LIBRARY}/routing/endpoint_choice_test.py::test_long_prompts_use_the_reserved_endpoint_when_the_others_are_far_behind",
     ),
     Mutant(
-        "a request that ended endpoints is known again under another id",
+        "a request that crashed endpoints is recognized under another id",
         f"{NODE}/gateway/requests/request_fingerprint.py",
         "        exchange.admitted.customer.encode(),",
         "        exchange.request_id.encode(),",
         f"{CRASHING}::test_a_request_that_ends_endpoints_is_soon_sent_to_none",
     ),
     Mutant(
-        "crashes that other nodes saw count",
+        "crashes reported by other nodes count",
         f"{NODE}/gateway/peers/crash_sharing.py",
         "        datagrams.handle(Kind.CRASHES, self._receive)",
         "        datagrams.handle(Kind.CRASHES, lambda rows, sender: None)",
         f"{NEWS}::test_all_nodes_know_a_suspect_within_a_second",
     ),
     Mutant(
-        "a good end acquits",
+        "a successful end acquits a request",
         f"{LIBRARY}/crash_records.py",
         "        self._put(replace(record, acquitted_s=self._clock()))",
         "        self._put(record)",
@@ -211,14 +211,14 @@
         "::test_a_good_end_acquits_of_all_crashes_before_and_of_none_after",
     ),
     Mutant(
-        "a suspect runs once in the fleet",
+        "a suspect runs on one endpoint of the fleet at a time",
         f"{LIBRARY}/trials.py",
         "        if fingerprint in self._running:",
         "        if False:",
         f"{LIBRARY}/trials_test.py::test_a_suspect_runs_once_however_many_nodes_ask",
     ),
     Mutant(
-        "nodes ask one of them",
+        "nodes ask one coordinator for trial permits",
         f"{NODE}/gateway/peers/trial_permits.py",
         "        if not coordinators or self._coordinators.is_me(coordinators[0]):"
         "\n            return",
@@ -226,14 +226,14 @@
         f"{PERMITS}::test_one_of_all_nodes_that_ask_at_the_same_moment_may_send",
     ),
     Mutant(
-        "what failed a trial waits for the next one",
+        "a request that failed a trial waits for the next one",
         f"{LIBRARY}/trials.py",
         "        if now_s < due_s:",
         "        if False:",
         f"{SIMULATION}::test_a_request_that_ends_endpoints_reaches_few_more",
     ),
     Mutant(
-        "suspects of the same crashes are tried apart",
+        "suspects of the same crashes are tried at different endpoints",
         f"{LIBRARY}/trials.py",
         "        if endpoint_id in full:",
         "        if False:",
@@ -241,14 +241,14 @@
         "::test_those_that_may_be_the_cause_are_tried_at_different_endpoints",
     ),
     Mutant(
-        "a broken connection to an endpoint that goes on is no crash",
+        "a broken connection to an endpoint that keeps running is no crash",
         f"{NODE}/gateway/endpoints/crash_confirmation.py",
         "            return task.result()",
         "            return True",
         f"{QUARANTINE}::test_endpoints_that_fail_and_go_on_are_no_crashes",
     ),
     Mutant(
-        "the quarantine is kept through the loss of all nodes",
+        "the quarantine survives the loss of all nodes",
         f"{NODE}/gateway/config/stored_quarantine.py",
         "            self._adopt(CrashReport(stored.fingerprint, crashes))",
         "            pass",
--- a/packages/springbridge-standins/springbridge_standins/mutants/mutant.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutant.py
@@ -1,4 +1,4 @@
-"""A mechanism taken out of the packages, and the test that has to fail then."""
+"""A mutant: an edit that removes a mechanism, and the tests that have to fail then."""
 
 from dataclasses import dataclass
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """One mechanism taken out.
+    """An edit of one source file that removes a mechanism.
 
     Attributes:
-      name: The mechanism.
-      module: File that holds it.
-      old: Text that is replaced.
-      new: What takes its place.
-      tests: File and name of the tests that have to fail.
+      name: Description of the mechanism, by which mutants are selected.
+      module: Path of the source file.
+      old: Text that is replaced; it occurs exactly once in the file.
+      new: Replacement of the text.
+      tests: File, or file and name, of the tests that have to fail.
     """
 
     name: str
--- a/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/mutants.py
@@ -1,7 +1,7 @@
-"""Shows that proofs fail without their mechanism: ``make mutants``.
+"""Checks that tests fail without the mechanism that they test: ``make mutants``.
 
-Each mutant is a copy of the packages with one mechanism taken out; the named test has to fail
-there. Nothing in the checkout is changed.
+Each mutant is tested in a copy of the packages with one mechanism removed, where the named test has
+to fail. The checkout is not changed.
 """
 
 import os
@@ -14,17 +14,17 @@
 
 import typer
 
-from springbridge_standins.mutants.duty_mutants import DUTIES_OF_THE_FLEET
-from springbridge_standins.mutants.gateway_mutants import USERS_PLATFORM
+from springbridge_standins.mutants.duty_mutants import DUTY_MUTANTS
+from springbridge_standins.mutants.gateway_mutants import GATEWAY_MUTANTS
 from springbridge_standins.mutants.mutant import LIBRARY, NODE, Mutant
-from springbridge_standins.mutants.rate_mutants import RATES_OF_ENDPOINTS
-from springbridge_standins.mutants.statement_mutants import STATEMENTS_OF_ENDPOINTS
+from springbridge_standins.mutants.rate_mutants import RATE_MUTANTS
+from springbridge_standins.mutants.statement_mutants import STATEMENT_MUTANTS
 
 ROOT = Path(__file__).parents[4]
 TIMEOUT_S = 300.0
 
 
-MUTANTS = (
+CLASS_ROUTER_MUTANTS = (
     Mutant(
         "check before dispatch",
         f"{LIBRARY}/classes/binding.py",
@@ -33,28 +33,28 @@
         f"{LIBRARY}/classes/binding_test.py::test_dispatch_happens_once",
     ),
     Mutant(
-        "one home for a request",
+        "a request has one home node",
         f"{NODE}/class_router/requests/home_lookup.py",
         "        home = record.moved_to or request_id.home\n",
         "        home = me\n",
         f"{NODE}/class_router/at_most_once_test.py::test_two_nodes_at_the_same_time",
     ),
     Mutant(
-        "no second sending of what is not repeatable",
+        "requests that are not repeatable are not retried",
         f"{NODE}/class_router/requests/work.py",
         "if not work.request.repeatable:\n        return Problem(Code.OUTCOME_UNKNOWN",
         "if False:\n        return Problem(Code.OUTCOME_UNKNOWN",
         f"{NODE}/class_router/at_most_once_test.py::test_service_reply_lost",
     ),
     Mutant(
-        "resume by id after the home is lost",
+        "streams are resumed by id after the home node is lost",
         f"{NODE}/class_router/requests/at_most_once.py",
         "if endpoint.kind is not EndpointKind.MODEL:",
         "if True:",
         f"{NODE}/class_router/at_most_once_test.py::test_home_lost_during_a_model_request",
     ),
     Mutant(
-        "only the home promises not run",
+        "only the home node reports a request as not run",
         f"{NODE}/class_router/requests/at_most_once.py",
         "        return unknown_because(problem)\n\n    def serve",
         "        return problem\n\n    def serve",
@@ -75,14 +75,14 @@
         f"{NODE}/class_router/callers_test.py::test_spoiled_streams_never_make_a_success_that_is_not_whole",
     ),
     Mutant(
-        "end marker needed",
+        "end marker required",
         f"{LIBRARY}/classes/stream.py",
         "        if self.ended:\n            return Success(None)",
         "        if True:\n            return Success(None)",
         f"{LIBRARY}/classes/binding_test.py::test_only_whole_answers_pass",
     ),
     Mutant(
-        "lower tiers refused before the top tier",
+        "lower tiers are refused before the top tier",
         f"{LIBRARY}/classes/slots/scheduler.py",
         "            yield from self._refuse_below(Tier.URGENT)\n",
         "",
@@ -117,7 +117,7 @@
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_fixed_lower_work_leaves_the_last_slot",
     ),
     Mutant(
-        "limit learnt per tier",
+        "concurrency limit learnt per tier",
         f"{LIBRARY}/classes/slots/concurrency.py",
         "        return min(self.tiers[tier].slots(now_s) for tier in tiers)",
         "        return min(limit.slots(now_s) for limit in self.tiers.values())",
@@ -131,7 +131,7 @@
         f"{LIBRARY}/classes/slots/scheduler_test.py::test_failing_engine_is_suspended_and_probed_back",
     ),
     Mutant(
-        "inventories",
+        "lost releases are found by inventories",
         f"{LIBRARY}/classes/slots/scheduler.py",
         "            and ask_id not in kept",
         "            and False",
@@ -145,14 +145,14 @@
         f"{LIBRARY}/classes/limits_test.py::test_rate_holds_for_the_sum",
     ),
     Mutant(
-        "places counted by the owner",
+        "concurrency counted by the owner",
         f"{LIBRARY}/classes/limits.py",
         "        free = max(0, self.share.concurrency - others)",
         "        free = self.share.concurrency",
         f"{LIBRARY}/classes/limits_test.py::test_concurrency_holds_for_the_sum",
     ),
     Mutant(
-        "places as an intersection",
+        "failure domains as an intersection",
         f"{LIBRARY}/classes/placement.py",
         "request_class.failure_domains & customer.failure_domains",
         "request_class.failure_domains | customer.failure_domains",
@@ -166,14 +166,14 @@
         f"{NODE}/class_router/configuration_test.py::test_node_cut_off_from_table_and_peers_stops_serving",
     ),
     Mutant(
-        "lost replies settled by reading back",
+        "lost replies are resolved by reading back",
         f"{NODE}/class_router/config/table_store.py",
         "                return await self._settle(change)",
         "                return Failure(Problem(Code.TABLE_UNAVAILABLE))",
         f"{NODE}/class_router/platform_test.py::test_commit_under_faults",
     ),
     Mutant(
-        "change id decides a repeat",
+        "a repeated change is recognized by its id",
         f"{NODE}/class_router/config/editing.py",
         "            case Success(Change() as done):\n                return Success(done.version)",
         "            case Success(0):\n                return Success(0)",
@@ -187,28 +187,28 @@
         f"{LIBRARY}/membership_test.py::test_leaving_is_final_and_spreads",
     ),
     Mutant(
-        "silent nodes left out",
+        "silent nodes are not counted as live",
         f"{LIBRARY}/observations.py",
         "unsuspected = [each for each in self.all() if each.heartbeat_s >= limit_s]",
         "unsuspected = list(self.all())",
         f"{LIBRARY}/membership_test.py::test_silent_node_is_left_out_whatever_the_list_says",
     ),
     Mutant(
-        "a planned stop waits for what runs",
+        "a planned stop waits for running requests",
         f"{NODE}/class_router/class_node.py",
         "        while self.parts.running or self.at_most_once.tasks:",
         "        while False:",
         f"{NODE}/class_router/callers_test.py::test_planned_stop_cuts_off_nothing",
     ),
     Mutant(
-        "work of callers that are gone is cancelled",
+        "requests of disconnected callers are cancelled",
         f"{NODE}/class_router/callers/work_handler.py",
         "            self.task.cancel()",
         "            pass",
         f"{NODE}/class_router/callers_test.py::test_caller_gone_stops_the_engine",
     ),
     Mutant(
-        "own clock before an order",
+        "the own clock is checked before an order",
         f"{NODE}/class_router/endpoints/orders.py",
         "margin_s = 0.0 if endpoint.checks_tokens else LEASE_MARGIN_S",
         "margin_s = -1e9",
@@ -216,17 +216,22 @@
     ),
 )
 
-ALL = (
-    *MUTANTS,
-    *USERS_PLATFORM,
-    *DUTIES_OF_THE_FLEET,
-    *RATES_OF_ENDPOINTS,
-    *STATEMENTS_OF_ENDPOINTS,
+ALL_MUTANTS = (
+    *CLASS_ROUTER_MUTANTS,
+    *GATEWAY_MUTANTS,
+    *DUTY_MUTANTS,
+    *RATE_MUTANTS,
+    *STATEMENT_MUTANTS,
 )
 
 
-def fails(mutant: Mutant, folder: Path) -> bool:
-    """Return whether the mutant's tests fail in a copy of the packages."""
+def is_killed(mutant: Mutant, folder: Path) -> bool:
+    """Return whether the mutant's tests fail in a copy of the packages.
+
+    Raises:
+      ValueError: The text to replace does not occur exactly once.
+      RuntimeError: Pytest did not run the tests.
+    """
     copy = folder / "copy"
     shutil.copytree(ROOT / "packages", copy / "packages")
     for name in ("docs", "examples", "platform", "pyproject.toml"):
@@ -236,7 +241,7 @@
     text = module.read_text()
     if text.count(mutant.old) != 1:
         raise ValueError(
-            f"{mutant.name}: the text to replace stands {text.count(mutant.old)} times"
+            f"{mutant.name}: the text to replace occurs {text.count(mutant.old)} times"
         )
     module.write_text(text.replace(mutant.old, mutant.new))
     paths = [str(path) for path in (*(copy / "packages").iterdir(), copy / "platform")]
@@ -254,14 +259,14 @@
 def main(
     only: Annotated[str, typer.Option(help="Only mutants with this text in their name.")] = "",
 ) -> None:
-    """Run the tests of all mutants; exit 1 if one of them passes."""
+    """Run the tests of the mutants; exit with 1 if they pass for one."""
     survivors = 0
-    for mutant in ALL:
+    for mutant in ALL_MUTANTS:
         if only not in mutant.name:
             continue
         with tempfile.TemporaryDirectory() as folder:
-            failed = fails(mutant, Path(folder))
-        survivors += not failed
-        print(f"{'fails' if failed else 'PASSES'} without: {mutant.name}", flush=True)
-    print(f"{survivors} proofs do not depend on their mechanism")
+            killed = is_killed(mutant, Path(folder))
+        survivors += not killed
+        print(f"{'fails' if killed else 'PASSES'} without: {mutant.name}", flush=True)
+    print(f"{survivors} mutants survive: their tests do not depend on the mechanism")
     sys.exit(1 if survivors else 0)
--- a/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
+++ b/packages/springbridge-standins/springbridge_standins/mutants/statement_mutants.py
@@ -1,4 +1,4 @@
-"""Parts of the rules for what endpoints say of themselves, which a proof has to miss."""
+"""Mutants of the handling of endpoint statements: leaving, and requests for rest."""
 
 from springbridge_standins.mutants.mutant import LIBRARY, NODE, PLATFORM, Mutant
 
@@ -7,58 +7,58 @@
 REST = f"{PLATFORM}/rest_test.py"
 SHARING = f"{NODE}/gateway/peers/statement_sharing_test.py"
 
-STATEMENTS_OF_ENDPOINTS = (
+STATEMENT_MUTANTS = (
     Mutant(
-        "leaving: the endpoint's word ends its use",
+        "leaving: an endpoint that says it leaves gets no more requests",
         f"{LIBRARY}/routing/eligibility.py",
         "if said.leaving.is_certain:",
         "if False:",
         f"{LEAVING}::test_an_endpoint_that_says_it_leaves_gets_no_more_requests",
     ),
     Mutant(
-        "leaving: the last resort ends",
+        "leaving: use as a last resort is bounded in time",
         f"{LIBRARY}/statements/leaving.py",
         "return now_s < leaving.heard_s + within_bound_s(MAX_LAST_RESORT_S, drain_s)",
         "return True",
         f"{LEAVING}::test_an_endpoint_that_says_it_leaves_gets_no_more_requests",
     ),
     Mutant(
-        "leaving: the word outlasts the entry",
+        "leaving: the statement outlasts the entry",
         f"{LIBRARY}/routing/endpoint_registry.py",
         "EndpointState(entry, statements=said)",
         "EndpointState(entry)",
         f"{ROUTING}::test_a_lapse_and_the_return_of_the_entry_do_not_revive_it",
     ),
     Mutant(
-        "leaving: an older copy does not bring back an earlier run",
+        "leaving: an older copy does not restore an earlier incarnation",
         f"{LIBRARY}/routing/older_lists.py",
         "return one.born_ms < other.born_ms",
         "return False",
         f"{LIBRARY}/routing/older_lists_test.py",
     ),
     Mutant(
-        "leaving: peers are told",
+        "leaving: peers are notified",
         f"{NODE}/gateway/requests/statement_watch.py",
         "            self._sharing.on_leaving(entry.incarnation)\n",
         "",
         f"{LEAVING}::test_one_answer_tells_all_nodes_while_the_store_is_out",
     ),
     Mutant(
-        "leaving: a peer's word does not last for ever",
+        "leaving: a peer's report expires",
         f"{LIBRARY}/statements/leaving.py",
         "now_s < leaving.told_s + PEER_REPORT_S",
         "True",
         SHARING,
     ),
     Mutant(
-        "leaving: news of another incarnation is passed over",
+        "leaving: reports on another incarnation are ignored",
         f"{NODE}/gateway/peers/statement_sharing.py",
         "return state is not None and state.entry.incarnation == incarnation",
         "return True",
         SHARING,
     ),
     Mutant(
-        "rest: an endpoint that rests is no candidate",
+        "rest: a resting endpoint is no candidate",
         f"{LIBRARY}/routing/eligibility.py",
         "if said.rest is not None and not rests.may_send(said.rest, now_s):",
         "if False:",
@@ -72,14 +72,14 @@
         f"{LIBRARY}/statements/rests_test.py",
     ),
     Mutant(
-        "rest: one request goes first",
+        "rest: a single request is sent at its end",
         f"{NODE}/gateway/requests/router.py",
         "        self._parts.registry.record_send(choice.state)\n",
         "",
         f"{REST}::test_at_the_end_of_a_rest_one_request_goes_first",
     ),
     Mutant(
-        "rest: what has waited looks again before it is sent",
+        "rest: a request that waited is checked again before it is sent",
         f"{NODE}/gateway/requests/router.py",
         "if not self._parts.registry.may_get_request(",
         "if False and not self._parts.registry.may_get_request(",
@@ -102,7 +102,7 @@
         f"{LIBRARY}/statements/returns_test.py",
     ),
     Mutant(
-        "a retry that is not sent goes back to the budget",
+        "a retry that is not sent is refunded to the budget",
         f"{NODE}/gateway/requests/router.py",
         "                self._parts.budget.refund(exchange.demand.service)\n",
         "                pass\n",
