--- a/packages/springbridge-standins/springbridge_standins/class_router/world.py
+++ b/packages/springbridge-standins/springbridge_standins/class_router/world.py
@@ -174,7 +174,9 @@
             response = await self._send_operator_request(node, "GET", path, b"", READ_TIMEOUT_S)
         except OSError:
             return {}
-        return orjson.loads(response.body) if response.status == 200 and response.is_complete else {}
+        return (
+            orjson.loads(response.body) if response.status == 200 and response.is_complete else {}
+        )
 
     async def _send_operator_request(
         self, node: NodeProcess, method: str, path: str, body: bytes, timeout_s: float
--- a/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
+++ b/packages/springbridge-standins/springbridge_standins/gateway/soak/checks.py
@@ -18,7 +18,11 @@
     expected = full_stream(request_id) if streams else plain_answer(request_id, body)
     if response.status == 200 and response.is_complete and response.body != expected:
         soak.violated("complete answer", f"{request_id} {path} got {response.body[:80]!r}")
-    if response.status == 200 and not response.is_complete and not expected.startswith(response.body):
+    if (
+        response.status == 200
+        and not response.is_complete
+        and not expected.startswith(response.body)
+    ):
         soak.violated(
             "a truncated answer is a prefix of its own",
             f"{request_id} {path} got {response.body[:80]!r}",
