--- a/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
+++ b/packages/springbridge-node/springbridge_node/class_router/endpoints/scheduler_host.py
@@ -1,7 +1,8 @@
 """Runs the endpoint schedulers of this node: one for each endpoint that it owns by rendezvous hash.
 
-Owns the schedulers and the map from slot request ids to endpoints. springbridge.classes.slots.scheduler
-makes the scheduling decisions; this module delivers messages to it and sends its decisions.
+Owns the schedulers and the map from slot request ids to endpoints. The scheduling decisions are
+made in springbridge.classes.slots.scheduler; this module delivers messages to it and sends its
+decisions.
 """
 
 from collections.abc import Callable
